--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -81,7 +81,7 @@
         if owner.leaving or upstream.fails(now):
             return float("inf")
         service = upstream.service_s * upstream.factor(now)
-        load, slots = owner.queue, owner.queue.shape.slots
+        load, slots = owner.queue, owner.queue.limits.slots
         waiting = load.queued + self.world.on_the_way(name)
         over = max(0, load.busy + waiting + 1 - slots)
         near = 0.0 if self.tracks[name].data_centre == self.data_centre else 0.0005
--- a/bench/stages.py
+++ b/bench/stages.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from bench.figures import spread, write_results
-from foldhoist.admission.slots import Shape
+from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import parse_fleet
 from foldhoist.config.options import load_schema
 from foldhoist.daemon.callers import CallerConnection, Shared
@@ -132,7 +132,7 @@
         self.to_owner, self.from_ingress = FakeTransport(), FakeTransport()
         self.link = FrameConnection(1 << 20, lambda c, k, b: self.task.message("x", k, b), print)
         self.link.connection_made(self.to_owner)
-        self.owner = Owner("depo-1", "depo", Shape(12, 24, 1, 8), 600.0)
+        self.owner = Owner("depo-1", "depo", QueueLimits(12, 24, 1, 8), 600.0)
         self.owner_task = OwnerTask(self.owner, cfg, hello, lambda k, b: None, self.hop)
         self.task.connect("in", cast("Any", FakeLinks(self.link)), self.owner_task)
         ingress.adopt(0.0, 1, fleet, tracked(fleet, "in", "a"), homes(fleet))
--- a/bench/world.py
+++ b/bench/world.py
@@ -14,7 +14,7 @@
 
 from bench.deployments import Case, Deployment, Seen, Slowdown, configuration
 from bench.fake_upstream import FakeUpstream
-from foldhoist.admission.slots import Shape
+from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import parse_fleet
 from foldhoist.delivery.call import CallerRequest, Connect, Reply, SendTo
 from foldhoist.delivery.codec import SCHEMA_VERSION
@@ -72,10 +72,10 @@
     def make_owner(self, name: str) -> Owner:
         """Return an owner."""
         service = self.fleet["services"]["s"]
-        shape = Shape(
+        limits = QueueLimits(
             self.deployment.slots, service["queue"], service["urgent_slots"], service["urgent_run"]
         )
-        return Owner(name, "s", shape, 600.0)
+        return Owner(name, "s", limits, 600.0)
 
     def make_ingress(self, name: str) -> Ingress:
         """Return an ingress."""
--- a/foldhoist/admission/due.py
+++ b/foldhoist/admission/due.py
@@ -18,7 +18,7 @@
 from foldhoist.admission.slots import DEFAULT_SERVICE_S, SMOOTHING, Refuse, Start, Wait
 
 if TYPE_CHECKING:
-    from foldhoist.admission.slots import Decision, Shape
+    from foldhoist.admission.slots import Decision, QueueLimits
     from foldhoist.schema.messages import Dispatch
 
 RANK_S = 0.02
@@ -50,8 +50,8 @@
 class DueQueue:
     """Counts busy slots and orders waiting calls; `now` is in seconds, monotonic."""
 
-    def __init__(self, shape: Shape) -> None:
-        self.shape = shape
+    def __init__(self, limits: QueueLimits) -> None:
+        self.limits = limits
         self.busy = 0
         self.service_s = DEFAULT_SERVICE_S
         self.pace = PaceWatch()
@@ -103,7 +103,7 @@
         if self._has_room(now) and self._may_start(now, wish):
             return self._started(now, ticket, wish)
         expected = self.expected_wait(now, wish)
-        if len(self._waiting) >= self.shape.queue:
+        if len(self._waiting) >= self.limits.queue:
             return self._refused(now, ticket, wish, "queue-full", expected)
         if now + expected > wish.start_by:
             return self._refused(now, ticket, wish, "no-slot-in-time", expected)
@@ -115,7 +115,7 @@
         """Return the seconds until a new call gets a slot, by what goes before it."""
         ahead = [other for other in self._waiting.values() if other.order <= wish.order]
         work_s = sum(other.expect_s for other in ahead)
-        slot_s = (work_s + self.service_s) / self.shape.slots
+        slot_s = (work_s + self.service_s) / self.limits.slots
         return max(slot_s, self.cold.ready_at(now, len(ahead)) - now)
 
     def withdraw(self, ticket: int) -> None:
@@ -162,7 +162,7 @@
         return min(late_at, ready_at) if ready_at > now else late_at
 
     def _has_room(self, now: float) -> bool:
-        return self.busy < self.cold.room(self.shape.slots) and self.cold.may_start(now)
+        return self.busy < self.cold.room(self.limits.slots) and self.cold.may_start(now)
 
     def _started(self, now: float, ticket: int, wish: Wish) -> Start:
         self.busy += 1
--- a/foldhoist/admission/slots.py
+++ b/foldhoist/admission/slots.py
@@ -34,7 +34,7 @@
 Decision: TypeAlias = Start | Wait | Refuse
 
 
-class Shape(NamedTuple):
+class QueueLimits(NamedTuple):
     """Sizes of one owner's queue, from the configuration."""
 
     slots: int
@@ -51,8 +51,8 @@
 class SlotQueue:
     """Counts busy slots and orders waiting calls; `now` is in seconds, monotonic."""
 
-    def __init__(self, shape: Shape) -> None:
-        self.shape = shape
+    def __init__(self, limits: QueueLimits) -> None:
+        self.limits = limits
         self.busy = 0
         self.service_s = DEFAULT_SERVICE_S
         self._urgent: deque[_Waiting] = deque()
@@ -75,7 +75,7 @@
             return Start(ticket)
         ahead = len(self._urgent) if urgent else self._queued
         expected = self.expected_wait(ahead)
-        if self._queued >= self.shape.queue:
+        if self._queued >= self.limits.queue:
             return Refuse(ticket, "queue-full", self.expected_wait(self._queued))
         if now + expected > deadline:
             return Refuse(ticket, "no-slot-before-deadline", expected)
@@ -86,8 +86,8 @@
 
     def expected_wait(self, ahead: int) -> float:
         """Return the seconds until a call with `ahead` others before it gets a slot."""
-        over = ahead + 1 + self.busy - self.shape.slots
-        return max(0, over) * self.service_s / self.shape.slots
+        over = ahead + 1 + self.busy - self.limits.slots
+        return max(0, over) * self.service_s / self.limits.slots
 
     def withdraw(self, ticket: int) -> None:
         """Take a waiting call out of the queue."""
@@ -139,13 +139,13 @@
         return not self._urgent if urgent else self._queued == 0
 
     def _may_start(self, urgent: bool) -> bool:
-        limit = self.shape.slots if urgent else self.shape.slots - self.shape.urgent_slots
+        limit = self.limits.slots if urgent else self.limits.slots - self.limits.urgent_slots
         return self.busy < limit
 
     def _next_lane(self) -> deque[_Waiting] | None:
-        if self.busy >= self.shape.slots:
+        if self.busy >= self.limits.slots:
             return None
-        passed_enough = self._urgent_in_row >= self.shape.urgent_run
+        passed_enough = self._urgent_in_row >= self.limits.urgent_run
         if self._ordinary and passed_enough:
             return self._ordinary
         if self._urgent:
--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -13,7 +13,7 @@
 
 from foldhoist.admission.cold import ColdRate
 from foldhoist.admission.held import HeldBytes
-from foldhoist.admission.slots import Shape
+from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import evacuated
 from foldhoist.config.reread import LIMITS, reread
 from foldhoist.daemon.callers import CallerConnection, Shared
@@ -52,8 +52,8 @@
 
 EAGER_LINKS = 64
 """With no more tracked upstreams than this, connections are opened before the first call."""
-SHAPE_UNKNOWN = Shape(slots=1, queue=0, urgent_slots=0, urgent_run=1)
-"""Shape of the owner before the first configuration names it."""
+INITIAL_QUEUE_LIMITS = QueueLimits(slots=1, queue=0, urgent_slots=0, urgent_run=1)
+"""QueueLimits of the owner before the first configuration names it."""
 DRAIN_LOOK_S = 0.02
 """Time between two looks at what is still in flight at a planned stop, seconds."""
 QUIET_S = 1.0
@@ -98,7 +98,7 @@
         self.owner = Owner(
             self.name,
             "",
-            SHAPE_UNKNOWN,
+            INITIAL_QUEUE_LIMITS,
             KEY_WINDOW_S,
             bodies=self._bodies,
             quarantine=quarantine,
@@ -254,8 +254,10 @@
             return
         self.owner.service = target["service"]
         self.owner.keys.window_s = service["key_window_s"]
-        self.owner_task.reshape(
-            Shape(target["slots"], service["queue"], service["urgent_slots"], service["urgent_run"])
+        self.owner_task.set_queue_limits(
+            QueueLimits(
+                target["slots"], service["queue"], service["urgent_slots"], service["urgent_run"]
+            )
         )
         self.owner_task.pool.most = target["connections"]
         rate = ColdRate(service["cold_per_s"], service["cold_ms"] / 1000)
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -13,7 +13,7 @@
 from foldhoist.admission.cold import ColdRate, Tolerance
 from foldhoist.admission.due import DueQueue
 from foldhoist.admission.held import HeldBytes
-from foldhoist.admission.slots import Shape
+from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import evacuated, limits_of
 from foldhoist.config.reread import LIMITS, reread
 from foldhoist.configlog.versions import Readers
@@ -52,8 +52,8 @@
     from foldhoist.schema.messages import Hello, Member
     from foldhoist.schema.settings import Settings
 
-SHAPE_UNKNOWN = Shape(slots=1, queue=0, urgent_slots=0, urgent_run=8)
-"""Shape of the owner before its upstream has announced itself."""
+INITIAL_QUEUE_LIMITS = QueueLimits(slots=1, queue=0, urgent_slots=0, urgent_run=8)
+"""QueueLimits of the owner before its upstream has announced itself."""
 RELOADABLE = LIMITS | {
     "[upstream] service",
     "[platform] retry_slack",
@@ -204,13 +204,13 @@
         cfg = self.cfg
         self.messages = PeerMessages(self)
         service = cfg["upstream"]["service"]
-        queue = DueQueue(SHAPE_UNKNOWN)
+        queue = DueQueue(INITIAL_QUEUE_LIMITS)
         self._bodies = HeldBytes(cfg["limits"]["held_bytes"])
         self.quarantine = Quarantine(self.incarnation)
         self.owner = Owner(
             self.name,
             service,
-            SHAPE_UNKNOWN,
+            INITIAL_QUEUE_LIMITS,
             KEY_WINDOW_S,
             queue,
             self._bodies,
--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -32,7 +32,7 @@
     from collections.abc import Callable
 
     from foldhoist.admission.cold import ColdRate
-    from foldhoist.admission.slots import Shape
+    from foldhoist.admission.slots import QueueLimits
     from foldhoist.daemon.dialect import Dialect
     from foldhoist.daemon.lost_calls import LostCall
     from foldhoist.delivery.dispatch import Action, Ended, Refused, Result, Sample
@@ -175,9 +175,9 @@
             self.sampler.ask()
         self._log_change(before)
 
-    def reshape(self, shape: Shape) -> None:
+    def set_queue_limits(self, limits: QueueLimits) -> None:
         """Take over the sizes of the queue."""
-        self._carry_out(self.owner.reshape(self._loop.time(), shape))
+        self._carry_out(self.owner.set_queue_limits(self._loop.time(), limits))
 
     @property
     def parting(self) -> bool:
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -11,7 +11,7 @@
 from foldhoist.admission.cold import ColdStart
 from foldhoist.admission.crowding import Crowding
 from foldhoist.admission.due import DueQueue
-from foldhoist.admission.slots import Refuse, Shape, SlotQueue, Start
+from foldhoist.admission.slots import QueueLimits, Refuse, SlotQueue, Start
 from foldhoist.delivery import replies
 from foldhoist.delivery.claims import Claims
 from foldhoist.delivery.dispatch import (
@@ -71,7 +71,7 @@
         self,
         name: str,
         service: str,
-        shape: Shape,
+        limits: QueueLimits,
         key_window_s: float,
         queue: SlotQueue | DueQueue | None = None,
         bodies: HeldBytes | None = None,
@@ -79,7 +79,7 @@
     ) -> None:
         self.name = name
         self.service = service
-        self.queue = queue if queue is not None else SlotQueue(shape)
+        self.queue = queue if queue is not None else SlotQueue(limits)
         self.keys = KeyTable(name, key_window_s)
         self.count = Counters()
         self.quarantine = quarantine if quarantine is not None else Quarantine()
@@ -249,10 +249,10 @@
             return [*actions, *self.stay("upstream")]
         return [*actions, *self.leave("upstream")]
 
-    def reshape(self, now: float, shape: Shape) -> list[Action]:
+    def set_queue_limits(self, now: float, limits: QueueLimits) -> list[Action]:
         """Take over the sizes of the queue; tells every ingress if the slots are others."""
-        before, self.queue.shape = self.queue.shape, shape
-        if before.slots == shape.slots:
+        before, self.queue.limits = self.queue.limits, limits
+        if before.slots == limits.slots:
             return []
         return [*self._telling.all(), *self._apply(now, self.queue.advance(now))]
 
@@ -343,8 +343,8 @@
         if self.standing.upstream is None:
             return []
         slots = self._crowding.room(now)
-        shape = self.queue.shape._replace(slots=slots, queue=slots * QUEUE_PER_SLOT)
-        return self.reshape(now, shape)
+        limits = self.queue.limits._replace(slots=slots, queue=slots * QUEUE_PER_SLOT)
+        return self.set_queue_limits(now, limits)
 
     def _admit(self, now: float, peer: Peer, req: Dispatch) -> list[Action]:
         ticket = Ticket(peer.incarnation, req, now)
--- a/foldhoist/delivery/standing.py
+++ b/foldhoist/delivery/standing.py
@@ -143,7 +143,7 @@
         load: Load = {
             "busy": queue.busy,
             "queued": queue.queued,
-            "slots": queue.shape.slots,
+            "slots": queue.limits.slots,
             "service_us": int(queue.service_s * 1e6) if self._answered_any else 0,
             "errors": round(self.errors, 3),
             "state": self._shown_state(),  # type: ignore[typeddict-item]
--- a/tests/adapter/test_path.py
+++ b/tests/adapter/test_path.py
@@ -319,7 +319,7 @@
     target.gate = asyncio.Event()
     long = {"X-Deadline-Ms": "9000"}
     running = [asyncio.ensure_future(cluster.ask("a", method="POST", headers=long))]
-    slots = cluster.daemons["a"].owner.queue.shape.slots
+    slots = cluster.daemons["a"].owner.queue.limits.slots
     for number in range(1, slots):
         asked = cluster.ask("a", method="POST", headers=long, attempt=f"{number:x}")
         running.append(asyncio.ensure_future(asked))
--- a/tests/unit/admission/test_cold.py
+++ b/tests/unit/admission/test_cold.py
@@ -11,7 +11,7 @@
 from foldhoist.admission.bucket import TokenBucket
 from foldhoist.admission.cold import ColdRate, ColdStart, Tolerance
 from foldhoist.admission.due import DueQueue, Wish
-from foldhoist.admission.slots import Refuse, Shape, Start, Wait
+from foldhoist.admission.slots import QueueLimits, Refuse, Start, Wait
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -131,7 +131,7 @@
 
 
 def test_the_queue_starts_what_is_borne_and_says_when_the_next_may_start() -> None:
-    queue = DueQueue(Shape(20, 60, 0, 8))
+    queue = DueQueue(QueueLimits(20, 60, 0, 8))
     queue.cold.bound(-100.0, ColdRate(2.0, 3.0))
     queue.cold.told(0.0, 60.0)
     urgent, usual = Wish(2.0, 1.8, 0.1, 3.0), Wish(2.5, 2.0, 0.1, 3.0, rank=1)
--- a/tests/unit/admission/test_due.py
+++ b/tests/unit/admission/test_due.py
@@ -8,12 +8,12 @@
 from hypothesis import strategies as st
 
 from foldhoist.admission.due import DueQueue, Wish
-from foldhoist.admission.slots import Refuse, Shape, Start, Wait
+from foldhoist.admission.slots import QueueLimits, Refuse, Start, Wait
 from foldhoist.delivery.dispatch import Ticket
 
 
 def queue(slots: int = 1, most: int = 10) -> DueQueue:
-    return DueQueue(Shape(slots, most, 0, 8))
+    return DueQueue(QueueLimits(slots, most, 0, 8))
 
 
 def wish(due: float, start_by: float = 9.0, expect: float = 0.1, deadline: float = 10.0) -> Wish:
--- a/tests/unit/admission/test_ramp.py
+++ b/tests/unit/admission/test_ramp.py
@@ -13,7 +13,7 @@
 from foldhoist.admission.cold import ColdRate
 from foldhoist.admission.due import DueQueue, Wish
 from foldhoist.admission.ramp import Ramp
-from foldhoist.admission.slots import Shape, Start, Wait
+from foldhoist.admission.slots import QueueLimits, Start, Wait
 
 SLOTS = 6
 """Slots of each upstream."""
@@ -35,7 +35,7 @@
 def play(ramped: bool, length_s: float = 20.0) -> Played:
     """Let many callers press on one upstream that has just started."""
     env = simpy.Environment()
-    queue = DueQueue(Shape(SLOTS, 100, 0, 8))
+    queue = DueQueue(QueueLimits(SLOTS, 100, 0, 8))
     state = {"answers": 0, "life": 0, "ended": 0, "answered": 0, "up": True}
 
     def begin() -> None:
@@ -90,7 +90,7 @@
 
 
 def test_where_it_is_told_what_is_borne_that_alone_counts() -> None:
-    queue = DueQueue(Shape(SLOTS, 100, 0, 8))
+    queue = DueQueue(QueueLimits(SLOTS, 100, 0, 8))
     queue.cold.bound(-10.0, ColdRate(4.0, 3.0))
     queue.cold.replaced()
     queue.cold.told(0.0, 3.0)
--- a/tests/unit/admission/test_shares.py
+++ b/tests/unit/admission/test_shares.py
@@ -6,7 +6,7 @@
 
 from foldhoist.admission.due import DueQueue
 from foldhoist.admission.shares import LEAST_DECISIONS, Shares
-from foldhoist.admission.slots import Refuse, Shape, Start
+from foldhoist.admission.slots import QueueLimits, Refuse, Start
 from foldhoist.delivery.dispatch import Ticket
 
 
@@ -46,7 +46,7 @@
 
 
 def test_a_nested_call_has_the_rank_of_what_it_is_a_part_of() -> None:
-    slots = DueQueue(Shape(4, 10, 0, 8))
+    slots = DueQueue(QueueLimits(4, 10, 0, 8))
     for number in range(40):
         slots.wish_of(0.0, call("post", ("web", "pay")[number % 2], 1), 1.0, 2.5)
         slots.wish_of(0.0, call("peek", "quotes", 1, parent_rank=2), 1.0, 2.5)
@@ -57,7 +57,7 @@
 
 def test_urgent_long_calls_are_refused_no_more_often_than_less_urgent_short_ones() -> None:
     """One slot; calls of rank 2 are due sooner and are short, those of rank 1 are the more."""
-    slots = DueQueue(Shape(1, 50, 0, 8))
+    slots = DueQueue(QueueLimits(1, 50, 0, 8))
     ranks: dict[int, int] = {}
     started: set[int] = set()
     free_at = 0.0
--- a/tests/unit/admission/test_slots.py
+++ b/tests/unit/admission/test_slots.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from foldhoist.admission.slots import Refuse, Shape, SlotQueue, Start, Wait
+from foldhoist.admission.slots import QueueLimits, Refuse, SlotQueue, Start, Wait
 
-SHAPE = Shape(slots=4, queue=6, urgent_slots=1, urgent_run=3)
+SHAPE = QueueLimits(slots=4, queue=6, urgent_slots=1, urgent_run=3)
 
 
 def test_ordinary_calls_leave_the_urgent_slots_free() -> None:
@@ -41,7 +41,7 @@
 
 
 def test_a_call_that_waited_past_its_deadline_is_refused_not_started() -> None:
-    queue = SlotQueue(Shape(1, 5, 0, 1))
+    queue = SlotQueue(QueueLimits(1, 5, 0, 1))
     queue.submit(0.0, 1, False, 9.0)
     queue.submit(0.0, 2, False, 0.5)
     assert queue.release(1.0, 0.1) == [Refuse(2, "deadline-passed", 0.0)]
--- a/tests/unit/daemon/test_frames.py
+++ b/tests/unit/daemon/test_frames.py
@@ -8,7 +8,7 @@
 import pytest
 
 from bench.stages import FakeTransport, default_settings
-from foldhoist.admission.slots import Shape
+from foldhoist.admission.slots import QueueLimits
 from foldhoist.daemon.frames import FrameConnection
 from foldhoist.daemon.owner_task import OwnerTask
 from foldhoist.delivery.codec import SCHEMA_VERSION, Splitter, encode
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         own: Any = {**HELLO, "name": "depo-1"}
-        owner = Owner("depo-1", "depo", Shape(2, 2, 0, 1), 600.0)
+        owner = Owner("depo-1", "depo", QueueLimits(2, 2, 0, 1), 600.0)
         task = OwnerTask(owner, default_settings(), own, lambda *args: None, lambda hop: None)
         self.owner = owner
         self.transport = Transport()
--- a/tests/unit/delivery/chain.py
+++ b/tests/unit/delivery/chain.py
@@ -13,7 +13,7 @@
 
 import simpy
 
-from foldhoist.admission.slots import Shape
+from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import parse_fleet
 from foldhoist.delivery.call import CallerRequest, Reply
 from foldhoist.delivery.call import SendTo as IngressSendTo
@@ -164,7 +164,7 @@
 
     def _owner(self, name: str) -> Owner:
         service = self._fleet["targets"][name]["service"]
-        return Owner(name, service, Shape(SLOTS, SLOTS, 0, 8), 600.0)
+        return Owner(name, service, QueueLimits(SLOTS, SLOTS, 0, 8), 600.0)
 
     def _ingress(self, name: str) -> Ingress:
         slack = RetrySlack(ALLOWED.slack, ALLOWED.window_s)
--- a/tests/unit/delivery/test_owner.py
+++ b/tests/unit/delivery/test_owner.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from foldhoist.admission.held import HeldBytes
-from foldhoist.admission.slots import Shape
+from foldhoist.admission.slots import QueueLimits
 from foldhoist.delivery import peers as peers_module
 from foldhoist.delivery.dispatch import (
     Broken,
@@ -34,7 +34,7 @@
 
 
 def make(slots: int = 2) -> Owner:
-    owner = Owner("depo-1", "depo", Shape(slots, 10, 0, 1), 600.0)
+    owner = Owner("depo-1", "depo", QueueLimits(slots, 10, 0, 1), 600.0)
     owner.hello(0.0, 1, hello("in-1", 1))
     return owner
 
@@ -167,7 +167,7 @@
     owner = make()
     owner.announce(0.0, announced(instance="one"))
     (start,) = owner.dispatch(0.1, 0, 1, dispatch(1))
-    owner.reshape(0.1, Shape(1, 10, 0, 1))
+    owner.set_queue_limits(0.1, QueueLimits(1, 10, 0, 1))
     owner.dispatch(0.1, 0, 1, dispatch(2, budget_ms=60_000))
     assert isinstance(start, StartCall)
     ended = owner.finished(0.2, start.ticket, Replaced())
@@ -223,8 +223,11 @@
     """Or it takes the upstream for one with a single slot, and sends its calls elsewhere."""
     owner = make(slots=1)
     owner.hello(0.0, 2, hello("in-2", 1))
-    assert reported_slots(owner.reshape(0.1, Shape(12, 10, 0, 1))) == [(1, 12), (2, 12)]
-    assert owner.reshape(0.2, Shape(12, 20, 0, 1)) == []
+    assert reported_slots(owner.set_queue_limits(0.1, QueueLimits(12, 10, 0, 1))) == [
+        (1, 12),
+        (2, 12),
+    ]
+    assert owner.set_queue_limits(0.2, QueueLimits(12, 20, 0, 1)) == []
 
 
 def test_an_ingress_is_told_the_slots_that_an_upstream_announces() -> None:
@@ -255,7 +258,7 @@
     owner = make(slots=1)
     owner.dispatch(0.1, 0, 1, dispatch(1))
     assert owner.dispatch(0.1, 0, 1, dispatch(2)) == []
-    started = owner.reshape(0.2, Shape(2, 10, 0, 1))
+    started = owner.set_queue_limits(0.2, QueueLimits(2, 10, 0, 1))
     assert [each for each in started if isinstance(each, StartCall)]
     assert owner.queue.queued == 0
 
@@ -288,7 +291,7 @@
 
 def test_bodies_at_an_owner_are_bounded_and_the_refused_call_did_not_run() -> None:
     bodies = HeldBytes(100_000)
-    owner = Owner("depo-1", "depo", Shape(1, 10, 0, 1), 600.0, bodies=bodies)
+    owner = Owner("depo-1", "depo", QueueLimits(1, 10, 0, 1), 600.0, bodies=bodies)
     owner.hello(0.0, 1, hello("in-1", 1))
     owner.dispatch(0.0, 0, 1, dispatch(1, body=b"x" * 60_000))
     owner.dispatch(0.0, 0, 1, dispatch(2, body=b"x" * 30_000))
--- a/tests/unit/delivery/test_owner_cold.py
+++ b/tests/unit/delivery/test_owner_cold.py
@@ -11,7 +11,7 @@
 
 from foldhoist.admission.cold import ColdRate
 from foldhoist.admission.due import DueQueue
-from foldhoist.admission.slots import Shape
+from foldhoist.admission.slots import QueueLimits
 from foldhoist.delivery.dispatch import Sample, SendTo, StartCall
 from foldhoist.delivery.owner import Owner
 from foldhoist.delivery.standing import EVACUATED
@@ -27,8 +27,8 @@
 
 
 def make(name: str, quarantine: Quarantine) -> Owner:
-    queue = DueQueue(Shape(30, 60, 0, 8))
-    owner = Owner(name, "depo", Shape(30, 60, 0, 8), 600.0, queue, None, quarantine)
+    queue = DueQueue(QueueLimits(30, 60, 0, 8))
+    owner = Owner(name, "depo", QueueLimits(30, 60, 0, 8), 600.0, queue, None, quarantine)
     owner.hello(0.0, 1, hello("in-1", 1))
     owner.bound_cold(-100.0, RATE)
     return owner
