--- a/foldhoist/admission/due.py
+++ b/foldhoist/admission/due.py
@@ -25,26 +25,26 @@
 """Each rank counts as if its calls were due this much later, seconds."""
 
 
-class Wish(NamedTuple):
+class QueuedCall(NamedTuple):
     """What a call asks for; times are monotonic seconds, `expect_s` how long it takes.
 
     It waits until `start_by`; a slot that is free then is still taken before the `deadline`. What
-    can't be answered before `timely` goes behind the others; None for the time that it is `due`.
-    A call that `yields` goes behind those that don't.
+    can't be answered before `on_time_by` goes behind the others; None for when it is `due`.
+    A call of `low_priority` goes behind those that don't.
     """
 
     due: float
     start_by: float
     expect_s: float
     deadline: float
-    timely: float | None = None
+    on_time_by: float | None = None
     rank: int = 0
-    yields: bool = False
+    low_priority: bool = False
 
     @property
     def order(self) -> tuple[bool, float]:
         """Return what the queue sorts by."""
-        return self.yields, self.due
+        return self.low_priority, self.due
 
 
 class DueQueue:
@@ -57,9 +57,9 @@
         self.pace = PaceWatch()
         self.cold = ColdStart()
         self._callers = CallersOfRoutes()
-        self._waiting: dict[int, Wish] = {}
+        self._waiting: dict[int, QueuedCall] = {}
         self._shares = Shares()
-        self._timely: list[tuple[tuple[bool, float], int]] = []
+        self._on_time: list[tuple[tuple[bool, float], int]] = []
         self._late: list[tuple[float, int]] = []
 
     @property
@@ -67,10 +67,12 @@
         """Return the number of calls that wait."""
         return len(self._waiting)
 
-    def wish_of(self, now: float, req: Dispatch, start_by: float, deadline: float) -> Wish:
+    def queued_call(
+        self, now: float, req: Dispatch, start_by: float, deadline: float
+    ) -> QueuedCall:
         """Return what a new call asks for; without an objective it is due at its deadline.
 
-        A nested call has the rank of what it is a part of. One that yields waits no longer than
+        A nested call has the rank of what it is a part of. One of low priority waits no longer than
         others: it would only keep what it is a part of in its slot. Calls of a customer that has
         used up most of its burst yield: what it sends beyond its usual takes no one else's room.
 
@@ -85,35 +87,35 @@
             rank = max(0, req.get("parent_rank", rank))
         due = now + req.get("due_ms", req["budget_ms"]) / 1000 + rank * RANK_S
         expect_s = req.get("expect_ms", 0) / 1000
-        yields = req.get("scarce", False) or self._shares.yields(now, rank)
-        wish = Wish(due, start_by, expect_s, deadline, None, rank, yields)
-        if not nested or wish.yields:
-            return wish
+        low_priority = req.get("scarce", False) or self._shares.yields(now, rank)
+        call = QueuedCall(due, start_by, expect_s, deadline, None, rank, low_priority)
+        if not nested or call.low_priority:
+            return call
         useful = latest_start(now, deadline, deadline, expect_s)
-        return wish._replace(start_by=max(start_by, useful), timely=deadline)
+        return call._replace(start_by=max(start_by, useful), on_time_by=deadline)
 
-    def submit(self, now: float, ticket: int, wish: Wish) -> Decision:
+    def submit(self, now: float, ticket: int, call: QueuedCall) -> Decision:
         """Decide on a new call: with a slot free, what waits only waits for a faster moment.
 
         A call that takes such a slot may end late; only one that has to wait is held to being on
         time, since what it is expected to take may be wrong.
         """
-        if now >= wish.deadline:
-            return self._refused(now, ticket, wish, "deadline-passed", 0.0)
-        if self._has_room(now) and self._may_start(now, wish):
-            return self._started(now, ticket, wish)
-        expected = self.expected_wait(now, wish)
+        if now >= call.deadline:
+            return self._refused(now, ticket, call, "deadline-passed", 0.0)
+        if self._has_room(now) and self._may_start(now, call):
+            return self._started(now, ticket, call)
+        expected = self.expected_wait(now, call)
         if len(self._waiting) >= self.limits.queue:
-            return self._refused(now, ticket, wish, "queue-full", expected)
-        if now + expected > wish.start_by:
-            return self._refused(now, ticket, wish, "no-slot-in-time", expected)
-        self._waiting[ticket] = wish
-        heappush(self._timely, (wish.order, ticket))
+            return self._refused(now, ticket, call, "queue-full", expected)
+        if now + expected > call.start_by:
+            return self._refused(now, ticket, call, "no-slot-in-time", expected)
+        self._waiting[ticket] = call
+        heappush(self._on_time, (call.order, ticket))
         return Wait(ticket)
 
-    def expected_wait(self, now: float, wish: Wish) -> float:
+    def expected_wait(self, now: float, call: QueuedCall) -> float:
         """Return the seconds until a new call gets a slot, by what goes before it."""
-        ahead = [other for other in self._waiting.values() if other.order <= wish.order]
+        ahead = [other for other in self._waiting.values() if other.order <= call.order]
         work_s = sum(other.expect_s for other in ahead)
         slot_s = (work_s + self.service_s) / self.limits.slots
         return max(slot_s, self.cold.ready_at(now, len(ahead)) - now)
@@ -136,20 +138,20 @@
             ticket = self._next(now)
             if ticket is None:
                 return decisions
-            wish = self._waiting.pop(ticket)
-            if now + wish.expect_s >= wish.deadline:
-                reason, again_s = "no-slot-in-time", self.service_s
-                decisions.append(self._refused(now, ticket, wish, reason, again_s))
+            call = self._waiting.pop(ticket)
+            if now + call.expect_s >= call.deadline:
+                reason, retry_after_s = "no-slot-in-time", self.service_s
+                decisions.append(self._refused(now, ticket, call, reason, retry_after_s))
                 continue
-            decisions.append(self._started(now, ticket, wish))
+            decisions.append(self._started(now, ticket, call))
         return decisions
 
     def expire(self, now: float) -> list[Decision]:
         """Refuse every waiting call that may not start any more."""
-        late = [ticket for ticket, wish in self._waiting.items() if now >= wish.start_by]
-        reason, again_s = "no-slot-in-time", self.service_s
+        late = [ticket for ticket, call in self._waiting.items() if now >= call.start_by]
+        reason, retry_after_s = "no-slot-in-time", self.service_s
         return [
-            self._refused(now, ticket, self._waiting.pop(ticket), reason, again_s)
+            self._refused(now, ticket, self._waiting.pop(ticket), reason, retry_after_s)
             for ticket in late
         ]
 
@@ -157,50 +159,50 @@
         """Return when a waiting call may not start any more, or may start; None if none waits."""
         if not self._waiting:
             return None
-        late_at = min(wish.start_by for wish in self._waiting.values())
+        late_at = min(call.start_by for call in self._waiting.values())
         ready_at = self.cold.ready_at(now)
         return min(late_at, ready_at) if ready_at > now else late_at
 
     def _has_room(self, now: float) -> bool:
         return self.busy < self.cold.room(self.limits.slots) and self.cold.may_start(now)
 
-    def _started(self, now: float, ticket: int, wish: Wish) -> Start:
+    def _started(self, now: float, ticket: int, call: QueuedCall) -> Start:
         self.busy += 1
         self.cold.started(now)
-        self._shares.decided(now, wish.rank, refused=False)
+        self._shares.decided(now, call.rank, refused=False)
         return Start(ticket)
 
     def _refused(
-        self, now: float, ticket: int, wish: Wish, reason: str, retry_after_s: float
+        self, now: float, ticket: int, call: QueuedCall, reason: str, retry_after_s: float
     ) -> Refuse:
-        self._shares.decided(now, wish.rank, refused=True)
+        self._shares.decided(now, call.rank, refused=True)
         return Refuse(ticket, reason, retry_after_s)
 
-    def _may_start(self, now: float, wish: Wish) -> bool:
+    def _may_start(self, now: float, call: QueuedCall) -> bool:
         """Return whether the call should start now rather than wait for a faster moment.
 
         A call that starts in a slow spell of the upstream holds its slot for several times as long
         as one that waits for the end of the spell.
         """
-        return not self.pace.is_worth_waiting(now, wish.expect_s)
+        return not self.pace.is_worth_waiting(now, call.expect_s)
 
     def _next(self, now: float) -> int | None:
         held: list[tuple[tuple[bool, float], int]] = []
-        found = self._first_timely(now, held)
+        found = self._first_on_time(now, held)
         for entry in held:
-            heappush(self._timely, entry)
+            heappush(self._on_time, entry)
         return self._first_late(now) if found is None else found
 
-    def _first_timely(self, now: float, held: list[tuple[tuple[bool, float], int]]) -> int | None:
-        while self._timely:
-            order, ticket = heappop(self._timely)
-            wish = self._waiting.get(ticket)
-            if wish is None:
+    def _first_on_time(self, now: float, held: list[tuple[tuple[bool, float], int]]) -> int | None:
+        while self._on_time:
+            order, ticket = heappop(self._on_time)
+            call = self._waiting.get(ticket)
+            if call is None:
                 continue
-            if now + wish.expect_s > (wish.timely or wish.due):
-                heappush(self._late, (wish.start_by, ticket))
+            if now + call.expect_s > (call.on_time_by or call.due):
+                heappush(self._late, (call.start_by, ticket))
                 continue
-            if self._may_start(now, wish):
+            if self._may_start(now, call):
                 return ticket
             held.append((order, ticket))
         return None
@@ -210,10 +212,10 @@
         found: int | None = None
         while self._late and found is None:
             start_by, ticket = heappop(self._late)
-            wish = self._waiting.get(ticket)
-            if wish is None:
+            call = self._waiting.get(ticket)
+            if call is None:
                 continue
-            if self._may_start(now, wish):
+            if self._may_start(now, call):
                 found = ticket
             else:
                 held.append((start_by, ticket))
--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -53,7 +53,7 @@
 EAGER_LINKS = 64
 """With no more tracked upstreams than this, connections are opened before the first call."""
 INITIAL_QUEUE_LIMITS = QueueLimits(slots=1, queue=0, urgent_slots=0, urgent_run=1)
-"""QueueLimits of the owner before the first configuration names it."""
+"""Queue limits of the owner before the first configuration names it."""
 DRAIN_LOOK_S = 0.02
 """Time between two looks at what is still in flight at a planned stop, seconds."""
 QUIET_S = 1.0
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -53,7 +53,7 @@
     from foldhoist.schema.settings import Settings
 
 INITIAL_QUEUE_LIMITS = QueueLimits(slots=1, queue=0, urgent_slots=0, urgent_run=8)
-"""QueueLimits of the owner before its upstream has announced itself."""
+"""Queue limits of the owner before its upstream has announced itself."""
 RELOADABLE = LIMITS | {
     "[upstream] service",
     "[platform] retry_slack",
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -356,9 +356,9 @@
             case SlotQueue() as queue:
                 decision = queue.submit(now, ticket_id, req["urgent"], ticket.start_by)
             case DueQueue() as queue:
-                wish = queue.wish_of(now, req, ticket.start_by, ticket.deadline)
-                ticket.rank = wish.rank
-                decision = queue.submit(now, ticket_id, wish)
+                queued = queue.queued_call(now, req, ticket.start_by, ticket.deadline)
+                ticket.rank = queued.rank
+                decision = queue.submit(now, ticket_id, queued)
         return self._apply(now, [decision])
 
     def _apply(self, now: float, decisions: list[Decision]) -> list[Action]:
--- a/tests/unit/admission/test_cold.py
+++ b/tests/unit/admission/test_cold.py
@@ -10,7 +10,7 @@
 
 from foldhoist.admission.bucket import TokenBucket
 from foldhoist.admission.cold import ColdRate, ColdStart, Tolerance
-from foldhoist.admission.due import DueQueue, Wish
+from foldhoist.admission.due import DueQueue, QueuedCall
 from foldhoist.admission.slots import QueueLimits, Refuse, Start, Wait
 
 if TYPE_CHECKING:
@@ -134,7 +134,7 @@
     queue = DueQueue(QueueLimits(20, 60, 0, 8))
     queue.cold.bound(-100.0, ColdRate(2.0, 3.0))
     queue.cold.told(0.0, 60.0)
-    urgent, usual = Wish(2.0, 1.8, 0.1, 3.0), Wish(2.5, 2.0, 0.1, 3.0, rank=1)
+    urgent, usual = QueuedCall(2.0, 1.8, 0.1, 3.0), QueuedCall(2.5, 2.0, 0.1, 3.0, rank=1)
     assert type(queue.submit(0.0, 1, usual)) is Start
     assert type(queue.submit(0.0, 2, usual)) is Start
     assert type(queue.submit(0.1, 3, usual)) is Wait
@@ -144,7 +144,7 @@
     started = queue.advance(1.0)
     assert [type(each) for each in started] == [Start, Start]
     assert [each.ticket for each in started] == [4, 3]
-    late = queue.submit(1.1, 5, Wish(1.5, 1.4, 0.1, 2.0))
+    late = queue.submit(1.1, 5, QueuedCall(1.5, 1.4, 0.1, 2.0))
     assert isinstance(late, Refuse)
     assert late.retry_after_s > 0.8
 
--- a/tests/unit/admission/test_due.py
+++ b/tests/unit/admission/test_due.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from foldhoist.admission.due import DueQueue, Wish
+from foldhoist.admission.due import DueQueue, QueuedCall
 from foldhoist.admission.slots import QueueLimits, Refuse, Start, Wait
 from foldhoist.delivery.dispatch import Ticket
 
@@ -16,34 +16,36 @@
     return DueQueue(QueueLimits(slots, most, 0, 8))
 
 
-def wish(due: float, start_by: float = 9.0, expect: float = 0.1, deadline: float = 10.0) -> Wish:
-    return Wish(due, start_by, expect, deadline)
+def queued(
+    due: float, start_by: float = 9.0, expect: float = 0.1, deadline: float = 10.0
+) -> QueuedCall:
+    return QueuedCall(due, start_by, expect, deadline)
 
 
 def test_the_call_that_is_due_first_goes_first() -> None:
     slots = queue()
-    assert slots.submit(0.0, 1, wish(5.0)) == Start(1)
-    assert slots.submit(0.0, 2, wish(4.0)) == Wait(2)
-    assert slots.submit(0.0, 3, wish(2.0)) == Wait(3)
+    assert slots.submit(0.0, 1, queued(5.0)) == Start(1)
+    assert slots.submit(0.0, 2, queued(4.0)) == Wait(2)
+    assert slots.submit(0.0, 3, queued(2.0)) == Wait(3)
     assert slots.release(0.5, 0.5) == [Start(3)]
     assert slots.release(1.0, 0.5) == [Start(2)]
 
 
 def test_calls_that_cannot_be_on_time_wait_behind_those_that_can() -> None:
     slots = queue()
-    slots.submit(0.0, 1, wish(5.0))
-    slots.submit(0.0, 2, wish(1.0))
-    slots.submit(0.0, 3, wish(4.0))
+    slots.submit(0.0, 1, queued(5.0))
+    slots.submit(0.0, 2, queued(1.0))
+    slots.submit(0.0, 3, queued(4.0))
     assert slots.release(2.0, 2.0) == [Start(3)]
     assert slots.release(3.0, 1.0) == [Start(2)]
 
 
 def test_a_late_call_takes_a_free_slot_but_not_after_its_deadline() -> None:
     slots = queue()
-    slots.submit(0.0, 1, wish(5.0))
-    slots.submit(0.0, 2, wish(1.0, start_by=1.5, deadline=4.0))
+    slots.submit(0.0, 1, queued(5.0))
+    slots.submit(0.0, 2, queued(1.0, start_by=1.5, deadline=4.0))
     assert slots.release(2.0, 2.0) == [Start(2)]
-    slots.submit(2.0, 3, wish(3.0, start_by=3.5, deadline=4.0))
+    slots.submit(2.0, 3, queued(3.0, start_by=3.5, deadline=4.0))
     (refused,) = slots.release(3.95, 2.0)
     assert isinstance(refused, Refuse)
     assert slots.busy == 0
@@ -51,17 +53,17 @@
 
 def test_what_would_wait_too_long_is_refused_at_once_with_a_time_to_come_back() -> None:
     slots = queue()
-    slots.submit(0.0, 1, wish(9.0))
-    slots.submit(0.0, 2, wish(1.0, expect=0.5))
-    refused = slots.submit(0.0, 3, wish(2.0, start_by=0.3))
+    slots.submit(0.0, 1, queued(9.0))
+    slots.submit(0.0, 2, queued(1.0, expect=0.5))
+    refused = slots.submit(0.0, 3, queued(2.0, start_by=0.3))
     assert isinstance(refused, Refuse)
     assert refused.retry_after_s >= 0.5
 
 
 def test_waiting_calls_are_refused_when_they_may_not_start_any_more() -> None:
     slots = queue()
-    slots.submit(0.0, 1, wish(9.0))
-    slots.submit(0.0, 2, wish(5.0, start_by=0.2))
+    slots.submit(0.0, 1, queued(9.0))
+    slots.submit(0.0, 2, queued(5.0, start_by=0.2))
     assert slots.next_at(0.0) == 0.2
     assert slots.expire(0.1) == []
     assert [type(each) for each in slots.expire(0.2)] == [Refuse]
@@ -71,7 +73,7 @@
 def test_a_free_slot_is_taken_by_a_call_that_is_expected_to_be_late() -> None:
     """What such calls take may have been learned in worse times."""
     slots = queue()
-    late = wish(due=1.0, start_by=0.5, expect=0.9, deadline=2.0)
+    late = queued(due=1.0, start_by=0.5, expect=0.9, deadline=2.0)
     assert slots.submit(0.6, 1, late) == Start(1)
     assert isinstance(slots.submit(0.6, 2, late), Refuse)
     slots.release(0.7, 0.1)
@@ -95,7 +97,7 @@
             due_ms = 1000 if ticket % 6 == 0 else 600
             request = call("any", "", due_ms=due_ms, budget_ms=2500, expect_ms=100)
             start_by = Ticket("", request, now).start_by
-            asked = slots.wish_of(now, request, start_by, now + 2.5)
+            asked = slots.queued_call(now, request, start_by, now + 2.5)
             take([slots.submit(now, ticket, asked)])
         if slots.busy:
             take(slots.release(now, 0.1))
@@ -139,7 +141,7 @@
         now += 0.1
         match kind:
             case 0 | 1:
-                asked = wish(now + amount, now + amount / 2, 0.1, now + 2 * amount)
+                asked = queued(now + amount, now + amount / 2, 0.1, now + 2 * amount)
                 take([slots.submit(now, ticket, asked)])
             case 2 if running:
                 running.pop()
@@ -153,16 +155,16 @@
 
 def test_a_nested_call_waits_beyond_its_routes_objective_and_goes_first_all_the_same() -> None:
     slots = queue()
-    nested = slots.wish_of(0.0, call("stock", "web", due_ms=100), 0.025, 0.4)
+    nested = slots.queued_call(0.0, call("stock", "web", due_ms=100), 0.025, 0.4)
     assert nested.start_by == 0.025
     for caller in ("web", "pay"):
         for _ in range(20):
-            slots.wish_of(0.0, call("pledge", caller), 0.1, 1.0)
+            slots.queued_call(0.0, call("pledge", caller), 0.1, 1.0)
     for _ in range(20):
-        nested = slots.wish_of(0.0, call("stock", "web", due_ms=100), 0.025, 0.4)
+        nested = slots.queued_call(0.0, call("stock", "web", due_ms=100), 0.025, 0.4)
     assert nested.start_by > 0.1
-    slots.submit(0.0, 1, wish(5.0))
-    assert slots.submit(0.0, 2, wish(0.6)) == Wait(2)
+    slots.submit(0.0, 1, queued(5.0))
+    assert slots.submit(0.0, 2, queued(0.6)) == Wait(2)
     assert slots.submit(0.0, 3, nested) == Wait(3)
     assert slots.release(0.15, 0.1) == [Start(3)]
 
@@ -182,10 +184,10 @@
     slots = queue(slots=1, most=20)
     plain: Any = {"budget_ms": 9000, "due_ms": 5000, "expect_ms": 100, "rank": 1}
     for ticket in range(1, 10):
-        asked = slots.wish_of(0.0, {**plain, "scarce": True}, 9.0, 10.0)
+        asked = slots.queued_call(0.0, {**plain, "scarce": True}, 9.0, 10.0)
         slots.submit(0.0, ticket, asked)
-    other = slots.wish_of(0.1, plain, 9.0, 10.0)
-    assert not other.yields
+    other = slots.queued_call(0.1, plain, 9.0, 10.0)
+    assert not other.low_priority
     assert slots.expected_wait(0.1, other) < 0.2
     assert isinstance(slots.submit(0.1, 10, other), Wait)
     (started,) = slots.release(0.2, 0.1)
--- a/tests/unit/admission/test_pace.py
+++ b/tests/unit/admission/test_pace.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from foldhoist.admission.due import DueQueue, Wish
+from foldhoist.admission.due import DueQueue, QueuedCall
 from foldhoist.admission.pace import FIRST_SPELL_S, FRESH_S, PaceWatch
 from foldhoist.admission.slots import QueueLimits, Refuse, Start, Wait
 
@@ -51,8 +51,8 @@
 def test_a_call_starts_when_the_spell_ends_and_a_short_one_meanwhile() -> None:
     slots = DueQueue(QueueLimits(4, 10, 0, 8))
     slots.pace.told(0.0, 500)
-    assert slots.submit(0.0, 1, Wish(1.0, 0.6, LONG_S, 3.0)) == Wait(1)
-    assert slots.submit(0.0, 2, Wish(0.9, 0.6, SHORT_S, 3.0)) == Start(2)
+    assert slots.submit(0.0, 1, QueuedCall(1.0, 0.6, LONG_S, 3.0)) == Wait(1)
+    assert slots.submit(0.0, 2, QueuedCall(0.9, 0.6, SHORT_S, 3.0)) == Start(2)
     assert slots.advance(0.02) == []
     slots.pace.told(0.1, 100)
     assert slots.advance(0.1) == [Start(1)]
@@ -64,6 +64,6 @@
     slots = DueQueue(QueueLimits(4, 10, 0, 8))
     for step in range(10):
         slots.pace.told(step * 0.05, 500)
-    assert slots.submit(0.45, 1, Wish(1.0, 0.58, LONG_S, 3.0)) == Wait(1)
+    assert slots.submit(0.45, 1, QueuedCall(1.0, 0.58, LONG_S, 3.0)) == Wait(1)
     assert slots.expire(0.57) == []
     assert [type(each) for each in slots.expire(0.58)] == [Refuse]
--- a/tests/unit/admission/test_ramp.py
+++ b/tests/unit/admission/test_ramp.py
@@ -11,7 +11,7 @@
 import simpy
 
 from foldhoist.admission.cold import ColdRate
-from foldhoist.admission.due import DueQueue, Wish
+from foldhoist.admission.due import DueQueue, QueuedCall
 from foldhoist.admission.ramp import Ramp
 from foldhoist.admission.slots import QueueLimits, Start, Wait
 
@@ -72,8 +72,8 @@
         while True:
             ticket += 1
             if state["up"]:
-                wish = Wish(env.now + 0.3, env.now + 0.2, WORK_S, env.now + 0.5)
-                start([queue.submit(env.now, ticket, wish)])
+                call = QueuedCall(env.now + 0.3, env.now + 0.2, WORK_S, env.now + 0.5)
+                start([queue.submit(env.now, ticket, call)])
             yield env.timeout(0.01)
 
     begin()
@@ -94,8 +94,8 @@
     queue.cold.bound(-10.0, ColdRate(4.0, 3.0))
     queue.cold.replaced()
     queue.cold.told(0.0, 3.0)
-    wish = Wish(9.0, 8.0, WORK_S, 10.0)
-    started = [type(queue.submit(0.0, ticket, wish)) for ticket in range(6)]
+    call = QueuedCall(9.0, 8.0, WORK_S, 10.0)
+    started = [type(queue.submit(0.0, ticket, call)) for ticket in range(6)]
     assert started == [Start] * 4 + [Wait] * 2
 
 
--- a/tests/unit/admission/test_shares.py
+++ b/tests/unit/admission/test_shares.py
@@ -48,11 +48,11 @@
 def test_a_nested_call_has_the_rank_of_what_it_is_a_part_of() -> None:
     slots = DueQueue(QueueLimits(4, 10, 0, 8))
     for number in range(40):
-        slots.wish_of(0.0, call("post", ("web", "pay")[number % 2], 1), 1.0, 2.5)
-        slots.wish_of(0.0, call("peek", "quotes", 1, parent_rank=2), 1.0, 2.5)
-    assert slots.wish_of(0.0, call("peek", "quotes", 1, parent_rank=2), 1.0, 2.5).rank == 2
-    assert slots.wish_of(0.0, call("peek", "quotes", 1), 1.0, 2.5).rank == 1
-    assert slots.wish_of(0.0, call("post", "web", 1, parent_rank=2), 1.0, 2.5).rank == 1
+        slots.queued_call(0.0, call("post", ("web", "pay")[number % 2], 1), 1.0, 2.5)
+        slots.queued_call(0.0, call("peek", "quotes", 1, parent_rank=2), 1.0, 2.5)
+    assert slots.queued_call(0.0, call("peek", "quotes", 1, parent_rank=2), 1.0, 2.5).rank == 2
+    assert slots.queued_call(0.0, call("peek", "quotes", 1), 1.0, 2.5).rank == 1
+    assert slots.queued_call(0.0, call("post", "web", 1, parent_rank=2), 1.0, 2.5).rank == 1
 
 
 def test_urgent_long_calls_are_refused_no_more_often_than_less_urgent_short_ones() -> None:
@@ -73,7 +73,7 @@
         ranks[step] = rank
         request = call("any", "", rank, due_ms=800 if rank == 1 else 300, expect_ms=80)
         start_by = Ticket("", request, now).start_by
-        decision = slots.submit(now, step, slots.wish_of(now, request, start_by, now + 2.5))
+        decision = slots.submit(now, step, slots.queued_call(now, request, start_by, now + 2.5))
         take([decision], started)
         if isinstance(decision, Start):
             free_at = now + 0.1
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -32,7 +32,7 @@
     Ablation(
         "waiting-for-slow-spells",
         "foldhoist/admission/due.py",
-        "return not self.pace.is_worth_waiting(now, wish.expect_s)",
+        "return not self.pace.is_worth_waiting(now, call.expect_s)",
         "return True",
     ),
     Ablation(
@@ -62,7 +62,7 @@
     Ablation(
         "late-behind-timely",
         "foldhoist/admission/due.py",
-        "if now + wish.expect_s > (wish.timely or wish.due):",
+        "if now + call.expect_s > (call.on_time_by or call.due):",
         "if False:",
     ),
     Ablation(
