--- a/foldhoist/admission/shares.py
+++ b/foldhoist/admission/shares.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from foldhoist.admission.fading import FadingShare
+from foldhoist.admission.decaying_ratio import DecayingRatio
 
 KEPT_S = 3.0
 """A decision counts by 1/e after this long, seconds: about ten times a call's work."""
@@ -20,13 +20,13 @@
     """The share of calls that was refused, by rank; 0 is the most urgent."""
 
     def __init__(self) -> None:
-        self._by_rank: dict[int, FadingShare] = {}
+        self._by_rank: dict[int, DecayingRatio] = {}
 
     def decided(self, now: float, rank: int, refused: bool) -> None:
         """Count a call that was started or refused."""
         decisions = self._by_rank.get(rank)
         if decisions is None:
-            decisions = self._by_rank[rank] = FadingShare(now, KEPT_S)
+            decisions = self._by_rank[rank] = DecayingRatio(now, KEPT_S)
         decisions.count(now, float(refused))
 
     def yields(self, now: float, rank: int) -> bool:
@@ -36,10 +36,10 @@
         the less urgent ones nothing where not all fits.
         """
         own = self._by_rank.get(rank)
-        own_share = own.share if own is not None else 0.0
+        own_ratio = own.ratio if own is not None else 0.0
         for other, decisions in self._by_rank.items():
-            if other >= rank or decisions.share <= own_share + MARGIN:
+            if other >= rank or decisions.ratio <= own_ratio + MARGIN:
                 continue
-            if decisions.counted(now) >= LEAST_DECISIONS:
+            if decisions.total(now) >= LEAST_DECISIONS:
                 return True
         return False
--- a/foldhoist/customers/credit.py
+++ b/foldhoist/customers/credit.py
@@ -11,7 +11,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, NamedTuple, TypeAlias
 
-from foldhoist.admission.fading import FadingShare
+from foldhoist.admission.decaying_ratio import DecayingRatio
 from foldhoist.customers.keeper import LONGEST_AGAIN_S
 from foldhoist.customers.seats import keepers, seats
 
@@ -115,7 +115,7 @@
         self.waiting: deque[int] = deque()
         self.asked: _Asked | None = None
         self.tried: set[str] = set()
-        self.use = FadingShare(now, USE_S)
+        self.use = DecayingRatio(now, USE_S)
         self.used_at = now
         self.own = 0.0
         self.own_at = now
@@ -283,7 +283,7 @@
         account.asked = _Asked(number, keeper, now)
         self._asked[number] = account
         # Where credit is short, what one host holds unused is what another one lacks.
-        ahead = 0 if account.scarce else int(account.use.counted(now) * AHEAD_S)
+        ahead = 0 if account.scarce else int(account.use.total(now) * AHEAD_S)
         want = min(len(account.waiting) + ahead, int(account.customer.most) + 1)
         if keeper != account.keeper:
             account.keeper, account.keeper_since = keeper, now
--- a/foldhoist/customers/keeper.py
+++ b/foldhoist/customers/keeper.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from foldhoist.admission.fading import FadingShare
+from foldhoist.admission.decaying_ratio import DecayingRatio
 from foldhoist.customers.directory import Directory
 from foldhoist.customers.seats import keepers, seats
 
@@ -73,13 +73,13 @@
     def __init__(self, at: float) -> None:
         self.at = at
         self.per_s = 0.0
-        self.asks = FadingShare(at, ASKED_S)
+        self.asks = DecayingRatio(at, ASKED_S)
 
     def asked(self, at: float) -> float:
         """Count a question; returns how long after the one before it comes."""
         gap_s = at - self.at
         self.at = at
-        self.per_s = self.asks.counted(at) / ASKED_S
+        self.per_s = self.asks.total(at) / ASKED_S
         self.asks.count(at, 0.0)
         return gap_s
 
@@ -102,7 +102,7 @@
         self.first = first
         self.share = 0.0
         self.askers: dict[str, _Asker] = {}
-        self.denied = FadingShare(at, DENIED_S)
+        self.denied = DecayingRatio(at, DENIED_S)
 
 
 class Keeper:
@@ -191,7 +191,7 @@
         """Return when there is credit for one more beside those denied lately, seconds."""
         share = bucket.share or len(bucket.askers) / len(self._hosts.known)
         gained = customer.rate_per_s * share
-        waiting = max(1.0, bucket.denied.counted(at))
+        waiting = max(1.0, bucket.denied.total(at))
         again_s = (waiting - bucket.level) / gained
         return min(LONGEST_AGAIN_S, max(SOONEST_AGAIN_S, again_s))
 
--- a/foldhoist/delivery/repeats.py
+++ b/foldhoist/delivery/repeats.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from foldhoist.admission.fading import FadingShare
+from foldhoist.admission.decaying_ratio import DecayingRatio
 
 KEPT_S = 1.0
 """A call counts by 1/e after this long, seconds: about ten times a call's work.
@@ -19,7 +19,7 @@
     """
 
     def __init__(self) -> None:
-        self._started = FadingShare(0.0, KEPT_S)
+        self._started = DecayingRatio(0.0, KEPT_S)
 
     def started(self, now: float, repeat: float) -> None:
         """Count a call that went to the upstream; `repeat` is how likely it is one, 0 to 1."""
@@ -28,4 +28,4 @@
     @property
     def share(self) -> float:
         """Return the share of repeats, 0 to 1."""
-        return self._started.share
+        return self._started.ratio
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -44,7 +44,7 @@
     Ablation(
         "yielding-ranks",
         "foldhoist/admission/shares.py",
-        "if decisions.counted(now) >= LEAST_DECISIONS:",
+        "if decisions.total(now) >= LEAST_DECISIONS:",
         "if False:",
     ),
     Ablation(
