--- a/foldhoist/admission/due.py
+++ b/foldhoist/admission/due.py
@@ -14,7 +14,7 @@
 from foldhoist.admission.completion import latest_start
 from foldhoist.admission.nested import CallersOfRoutes
 from foldhoist.admission.pace import PaceWatch
-from foldhoist.admission.shares import Shares
+from foldhoist.admission.refusal_rates import RefusalRates
 from foldhoist.admission.slots import DEFAULT_SERVICE_S, SMOOTHING, Refuse, Start, Wait
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
         self.cold = ColdStart()
         self._callers = CallersOfRoutes()
         self._waiting: dict[int, QueuedCall] = {}
-        self._shares = Shares()
+        self._refusal_rates = RefusalRates()
         self._on_time: list[tuple[tuple[bool, float], int]] = []
         self._late: list[tuple[float, int]] = []
 
@@ -87,7 +87,7 @@
             rank = max(0, req.get("parent_rank", rank))
         due = now + req.get("due_ms", req["budget_ms"]) / 1000 + rank * RANK_S
         expect_s = req.get("expect_ms", 0) / 1000
-        low_priority = req.get("scarce", False) or self._shares.yields(now, rank)
+        low_priority = req.get("scarce", False) or self._refusal_rates.is_low_priority(now, rank)
         call = QueuedCall(due, start_by, expect_s, deadline, None, rank, low_priority)
         if not nested or call.low_priority:
             return call
@@ -169,13 +169,13 @@
     def _started(self, now: float, ticket: int, call: QueuedCall) -> Start:
         self.busy += 1
         self.cold.started(now)
-        self._shares.decided(now, call.rank, refused=False)
+        self._refusal_rates.record(now, call.rank, refused=False)
         return Start(ticket)
 
     def _refused(
         self, now: float, ticket: int, call: QueuedCall, reason: str, retry_after_s: float
     ) -> Refuse:
-        self._shares.decided(now, call.rank, refused=True)
+        self._refusal_rates.record(now, call.rank, refused=True)
         return Refuse(ticket, reason, retry_after_s)
 
     def _may_start(self, now: float, call: QueuedCall) -> bool:
--- a/tests/unit/admission/test_shares.py
+++ b/tests/unit/admission/test_refusal_rates.py
@@ -5,32 +5,32 @@
 from typing import Any
 
 from foldhoist.admission.due import DueQueue
-from foldhoist.admission.shares import LEAST_DECISIONS, Shares
+from foldhoist.admission.refusal_rates import MIN_DECISIONS, RefusalRates
 from foldhoist.admission.slots import QueueLimits, Refuse, Start
 from foldhoist.delivery.dispatch import Ticket
 
 
 def test_a_rank_yields_while_a_more_urgent_one_is_refused_a_larger_share() -> None:
-    shares = Shares()
-    for number in range(int(LEAST_DECISIONS) + 5):
-        shares.decided(0.0, 1, refused=number % 2 == 0)
-        shares.decided(0.0, 2, refused=False)
-    assert shares.yields(0.0, 2)
-    assert not shares.yields(0.0, 1)
-    assert not shares.yields(0.0, 0)
+    rates = RefusalRates()
+    for number in range(int(MIN_DECISIONS) + 5):
+        rates.record(0.0, 1, refused=number % 2 == 0)
+        rates.record(0.0, 2, refused=False)
+    assert rates.is_low_priority(0.0, 2)
+    assert not rates.is_low_priority(0.0, 1)
+    assert not rates.is_low_priority(0.0, 0)
     for _ in range(20):
-        shares.decided(0.1, 2, refused=True)
-    assert not shares.yields(0.1, 2)
+        rates.record(0.1, 2, refused=True)
+    assert not rates.is_low_priority(0.1, 2)
 
 
 def test_few_decisions_and_old_ones_say_nothing() -> None:
-    shares = Shares()
-    shares.decided(0.0, 0, refused=True)
-    assert not shares.yields(0.0, 1)
+    rates = RefusalRates()
+    rates.record(0.0, 0, refused=True)
+    assert not rates.is_low_priority(0.0, 1)
     for _ in range(20):
-        shares.decided(0.0, 0, refused=True)
-    assert shares.yields(0.1, 1)
-    assert not shares.yields(30.0, 1)
+        rates.record(0.0, 0, refused=True)
+    assert rates.is_low_priority(0.1, 1)
+    assert not rates.is_low_priority(30.0, 1)
 
 
 def call(route: str, caller: str, rank: int, **fields: Any) -> Any:
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -43,8 +43,8 @@
     ),
     Ablation(
         "yielding-ranks",
-        "foldhoist/admission/shares.py",
-        "if decisions.total(now) >= LEAST_DECISIONS:",
+        "foldhoist/admission/refusal_rates.py",
+        "if decisions.total(now) >= MIN_DECISIONS:",
         "if False:",
     ),
     Ablation(
