--- a/foldhoist/admission/held.py
+++ b/foldhoist/admission/body_memory.py
@@ -2,20 +2,20 @@
 
 from __future__ import annotations
 
-MOST_BODY_BYTES = 32 * 1024 * 1024
+DEFAULT_BODY_MEMORY_BYTES = 32 * 1024 * 1024
 """The bound unless told otherwise, bytes."""
-SMALL_BYTES = 64 * 1024
+SMALL_BODY_BYTES = 64 * 1024
 """A body up to this size may use the part of the bound that larger ones leave free."""
-LARGE_SHARE = 0.75
+LARGE_BODY_SHARE = 0.75
 """Share of the bound up to which larger bodies are taken."""
 
 
-class HeldBytes:
+class BodyMemory:
     """Counts what is held; a few large bodies never keep the small ones out."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.held = 0
+    def __init__(self, limit: int) -> None:
+        self.limit = limit
+        self.used = 0
 
     def has_room(self, size: int, body_size: int) -> bool:
         """Return whether more bytes fit, for a body that has this size with them; none always do.
@@ -24,13 +24,13 @@
         """
         if not size:
             return True
-        room = self.most if body_size <= SMALL_BYTES else int(self.most * LARGE_SHARE)
-        return self.held + size <= room
+        room = self.limit if body_size <= SMALL_BODY_BYTES else int(self.limit * LARGE_BODY_SHARE)
+        return self.used + size <= room
 
-    def take(self, size: int) -> None:
+    def reserve(self, size: int) -> None:
         """Hold more bytes."""
-        self.held += size
+        self.used += size
 
-    def give_back(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Hold these bytes no longer."""
-        self.held -= size
+        self.used -= size
--- a/foldhoist/daemon/callers.py
+++ b/foldhoist/daemon/callers.py
@@ -14,7 +14,7 @@
 
 import httptools
 
-from foldhoist.admission.held import HeldBytes
+from foldhoist.admission.body_memory import BodyMemory
 from foldhoist.daemon.dialect import OwnDialect
 from foldhoist.daemon.http import HeadReader, status_line, write_head
 from foldhoist.daemon.request import BadRequest
@@ -63,7 +63,7 @@
         self.on_gone = on_gone
         self.count = Counters()
         self.limits = limits
-        self.bodies = HeldBytes(limits["held_bytes"])
+        self.bodies = BodyMemory(limits["held_bytes"])
         self.open: set[CallerConnection] = set()
         self.behind: set[CallerConnection] = set()
         self.closing = False
@@ -71,7 +71,7 @@
     def adopt(self, limits: Limits) -> None:
         """Take over limits; what is held already stays."""
         self.limits = limits
-        self.bodies.most = limits["held_bytes"]
+        self.bodies.limit = limits["held_bytes"]
 
     async def close_late(self) -> None:
         """Close connections that take too long; one look for all is cheaper than timers."""
@@ -141,7 +141,7 @@
         self._shared.behind.discard(self)
         self._transport = None
         held = self._body_bytes + sum(each.body_bytes for each in self._unanswered)
-        self._shared.bodies.give_back(held)
+        self._shared.bodies.release(held)
         self._body_bytes = 0
         self._unanswered.clear()
         if self._call_id is not None:
@@ -214,7 +214,7 @@
             raise _TooLargeError(413, "body-too-large")
         if not self._shared.bodies.has_room(len(body), size):
             raise _TooLargeError(503, "bodies-full")
-        self._shared.bodies.take(len(body))
+        self._shared.bodies.reserve(len(body))
         self._body_bytes = size
         self._body.append(body)
 
@@ -249,7 +249,7 @@
         self._busy = False
         answered = self._unanswered.popleft()
         keep = answered.keep_alive and not self._shared.closing
-        self._shared.bodies.give_back(answered.body_bytes)
+        self._shared.bodies.release(answered.body_bytes)
         self._write(_answer_bytes(self._shared.dialect, verdict, trace, self._method, keep))
         if not keep:
             self._end()
--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -11,8 +11,8 @@
 
 from loguru import logger
 
+from foldhoist.admission.body_memory import BodyMemory
 from foldhoist.admission.cold import ColdRate
-from foldhoist.admission.held import HeldBytes
 from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import evacuated
 from foldhoist.config.reread import LIMITS, reread
@@ -93,7 +93,7 @@
         limit = cfg["limits"]["body_bytes"] + HEADROOM
         platform = cfg["platform"]
         self.client = PlatformClient(platform["log"], platform["stream"], platform["hosts"])
-        self._bodies = HeldBytes(cfg["limits"]["held_bytes"])
+        self._bodies = BodyMemory(cfg["limits"]["held_bytes"])
         quarantine = Quarantine(self.incarnation)
         self.owner = Owner(
             self.name,
@@ -176,7 +176,7 @@
         limits = found.cfg["limits"]
         self.shared.adopt(limits)
         self.ingress_task.ingress.door.most_calls = limits["calls"]
-        self._bodies.most = limits["held_bytes"]
+        self._bodies.limit = limits["held_bytes"]
 
     async def stop(self) -> None:
         """Close every socket and end every task."""
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -10,9 +10,9 @@
 
 from loguru import logger
 
+from foldhoist.admission.body_memory import BodyMemory
 from foldhoist.admission.cold import ColdRate, Tolerance
 from foldhoist.admission.due import DueQueue
-from foldhoist.admission.held import HeldBytes
 from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import evacuated, limits_of
 from foldhoist.config.reread import LIMITS, reread
@@ -150,7 +150,7 @@
         self.adapter.reload(found.cfg)
         self.events.share = found.cfg["observe"]["log_share"]
         self.ingress_task.ingress.door.most_calls = limits["calls"]
-        self._bodies.most = limits["held_bytes"]
+        self._bodies.limit = limits["held_bytes"]
         self._slack.attempts = platform["retry_slack"]
         self._slack.window_s = platform["retry_window_s"]
         self.quotas.keeper.slack = platform["quota_slack"]
@@ -205,7 +205,7 @@
         self.messages = PeerMessages(self)
         service = cfg["upstream"]["service"]
         queue = DueQueue(INITIAL_QUEUE_LIMITS)
-        self._bodies = HeldBytes(cfg["limits"]["held_bytes"])
+        self._bodies = BodyMemory(cfg["limits"]["held_bytes"])
         self.quarantine = Quarantine(self.incarnation)
         self.owner = Owner(
             self.name,
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -44,8 +44,8 @@
 from foldhoist.quarantine.table import Quarantine
 
 if TYPE_CHECKING:
+    from foldhoist.admission.body_memory import BodyMemory
     from foldhoist.admission.cold import ColdRate
-    from foldhoist.admission.held import HeldBytes
     from foldhoist.admission.slots import Decision
     from foldhoist.delivery.dispatch import Sample
     from foldhoist.schema.messages import (
@@ -74,7 +74,7 @@
         limits: QueueLimits,
         key_window_s: float,
         queue: SlotQueue | DueQueue | None = None,
-        bodies: HeldBytes | None = None,
+        bodies: BodyMemory | None = None,
         quarantine: Quarantine | None = None,
     ) -> None:
         self.name = name
--- a/foldhoist/delivery/tickets.py
+++ b/foldhoist/delivery/tickets.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from foldhoist.admission.held import MOST_BODY_BYTES, HeldBytes
+from foldhoist.admission.body_memory import DEFAULT_BODY_MEMORY_BYTES, BodyMemory
 from foldhoist.delivery.repeats import StartedRepeats
 from foldhoist.routing.routes import NO_RANK
 
@@ -16,8 +16,8 @@
 class Tickets:
     """Calls by a number of this owner, and a bound on the bytes of their bodies."""
 
-    def __init__(self, bodies: HeldBytes | None) -> None:
-        self._bodies = bodies if bodies is not None else HeldBytes(MOST_BODY_BYTES)
+    def __init__(self, bodies: BodyMemory | None) -> None:
+        self._bodies = bodies if bodies is not None else BodyMemory(DEFAULT_BODY_MEMORY_BYTES)
         self._by_id: dict[int, Ticket] = {}
         self._next_id = 1
         self._running: dict[int, int] = {}
@@ -49,7 +49,7 @@
         ticket_id = self._next_id
         self._next_id += 1
         self._by_id[ticket_id] = ticket
-        self._bodies.take(len(ticket.request["body"]))
+        self._bodies.reserve(len(ticket.request["body"]))
         return ticket_id
 
     def start(self, ticket_id: int, now: float) -> Ticket:
@@ -74,7 +74,7 @@
     def pop(self, ticket_id: int) -> Ticket:
         """Remove a call that has ended, with its body."""
         ticket = self._by_id.pop(ticket_id)
-        self._bodies.give_back(len(ticket.request["body"]))
+        self._bodies.release(len(ticket.request["body"]))
         if ticket.running:
             self._running[ticket.rank] -= 1
             if not self._running[ticket.rank]:
--- a/tests/adapter/test_reload.py
+++ b/tests/adapter/test_reload.py
@@ -5,7 +5,7 @@
 import asyncio
 import copy
 
-from foldhoist.admission.held import SMALL_BYTES
+from foldhoist.admission.body_memory import SMALL_BODY_BYTES
 from foldhoist.routing.policies import Mixed, TwoChoices
 from tests.adapter.cluster import Cluster, played, request_bytes, route, two, until
 
@@ -46,21 +46,21 @@
 ) -> None:
     await two(cluster)
     daemon = cluster.daemons["a"]
-    limits = {**daemon.cfg["limits"], "held_bytes": SMALL_BYTES}
+    limits = {**daemon.cfg["limits"], "held_bytes": SMALL_BODY_BYTES}
     daemon.reload({**daemon.cfg, "limits": limits})  # type: ignore[typeddict-item]
     ip, _, port = daemon.addresses["callers"].rpartition(":")
     part = request_bytes("POST", "/a/1", b"x" * 1000)[:-1]
     writers: list[asyncio.StreamWriter] = []
-    for _ in range(SMALL_BYTES // 999):
+    for _ in range(SMALL_BODY_BYTES // 999):
         _, writer = await asyncio.open_connection(ip, int(port))
         writer.write(part)
         writers.append(writer)
-    await until(lambda: daemon.shared.bodies.held == 999 * len(writers))
+    await until(lambda: daemon.shared.bodies.used == 999 * len(writers))
     refused = await cluster.ask("a", method="POST", body=b"x" * 999)
     assert refused.status == 503
     assert float(refused.headers["retry-after"]) == 1.0
     assert (await cluster.ask("a")).status == 200
     for writer in writers:
         writer.close()
-    await until(lambda: daemon.shared.bodies.held == 0)
+    await until(lambda: daemon.shared.bodies.used == 0)
     assert (await cluster.ask("a", method="POST", body=b"x" * 999)).status == 200
--- /dev/null
+++ b/tests/unit/admission/test_body_memory.py
@@ -0,0 +1,44 @@
+"""The bound on the bytes of bodies that are held at once."""
+
+from __future__ import annotations
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from foldhoist.admission.body_memory import LARGE_BODY_SHARE, SMALL_BODY_BYTES, BodyMemory
+
+LIMIT = 8 * SMALL_BODY_BYTES
+
+
+def test_large_bodies_leave_room_for_small_ones() -> None:
+    memory = BodyMemory(LIMIT)
+    large = SMALL_BODY_BYTES + 1
+    while memory.has_room(large, large):
+        memory.reserve(large)
+    assert memory.used <= LIMIT * LARGE_BODY_SHARE
+    assert memory.has_room(SMALL_BODY_BYTES, SMALL_BODY_BYTES)
+
+
+def test_what_was_given_back_may_be_taken_again() -> None:
+    memory = BodyMemory(LIMIT)
+    memory.reserve(LIMIT)
+    assert not memory.has_room(1, 1)
+    memory.release(1)
+    assert memory.has_room(1, 1)
+
+
+def test_what_has_no_body_needs_no_room_when_the_bound_was_lowered() -> None:
+    memory = BodyMemory(LIMIT)
+    memory.reserve(LIMIT)
+    memory.limit = SMALL_BODY_BYTES
+    assert memory.has_room(0, 0)
+    assert not memory.has_room(1, 1)
+
+
+@given(sizes=st.lists(st.integers(1, 3 * SMALL_BODY_BYTES), max_size=60))
+def test_never_more_than_the_bound_is_held(sizes: list[int]) -> None:
+    memory = BodyMemory(LIMIT)
+    for size in sizes:
+        if memory.has_room(size, size):
+            memory.reserve(size)
+        assert memory.used <= LIMIT
--- a/tests/unit/daemon/test_callers.py
+++ b/tests/unit/daemon/test_callers.py
@@ -177,19 +177,19 @@
     assert b"Retry-After: 1\r\n" in text
     assert wire.shared.count.bodies_full == 1
     wire.conn.connection_lost(None)
-    assert wire.shared.bodies.held == 60_000
+    assert wire.shared.bodies.used == 60_000
     first.connection_lost(None)
-    assert wire.shared.bodies.held == 0
+    assert wire.shared.bodies.used == 0
 
 
 def test_a_body_is_held_until_its_answer() -> None:
     wire = Wire()
     wire.send(post(5000) + post(300))
-    assert wire.shared.bodies.held == 5300
+    assert wire.shared.bodies.used == 5300
     wire.conn.answer(OK, "t")
-    assert wire.shared.bodies.held == 300
+    assert wire.shared.bodies.used == 300
     wire.conn.answer(OK, "t")
-    assert wire.shared.bodies.held == 0
+    assert wire.shared.bodies.used == 0
 
 
 def test_callers_that_leave_too_much_unread_are_cut_off_the_worst_first() -> None:
@@ -220,6 +220,6 @@
     wire.send(b"nonsense\r\n\r\n")
     wire.conn.answer(OK, "t")
     assert b"Connection: close\r\n" in wire.transport.take()
-    assert wire.shared.bodies.held == 300
+    assert wire.shared.bodies.used == 300
     wire.conn.connection_lost(None)
-    assert wire.shared.bodies.held == 0
+    assert wire.shared.bodies.used == 0
--- a/tests/unit/delivery/test_owner.py
+++ b/tests/unit/delivery/test_owner.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any, cast
 
-from foldhoist.admission.held import HeldBytes
+from foldhoist.admission.body_memory import BodyMemory
 from foldhoist.admission.slots import QueueLimits
 from foldhoist.delivery import peers as peers_module
 from foldhoist.delivery.dispatch import (
@@ -290,7 +290,7 @@
 
 
 def test_bodies_at_an_owner_are_bounded_and_the_refused_call_did_not_run() -> None:
-    bodies = HeldBytes(100_000)
+    bodies = BodyMemory(100_000)
     owner = Owner("depo-1", "depo", QueueLimits(1, 10, 0, 1), 600.0, bodies=bodies)
     owner.hello(0.0, 1, hello("in-1", 1))
     owner.dispatch(0.0, 0, 1, dispatch(1, body=b"x" * 60_000))
@@ -299,11 +299,11 @@
         (3, "Refusal", "no")
     ]
     assert owner.refusals.take()[-1].reason == "bodies-full"
-    assert bodies.held == 90_000
+    assert bodies.used == 90_000
     owner.finished(0.1, 1, ANSWER)
     owner.withdraw(0.1, 1, {"seq": 2})
     owner.finished(0.2, 2, Broken(True, "cancelled"))
-    assert bodies.held == 0
+    assert bodies.used == 0
     assert owner.calls == 0
 
 
