--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from foldhoist.admission.cold import ColdStart
-from foldhoist.admission.crowding import Crowding
+from foldhoist.admission.concurrency_limit import ConcurrencyLimit
 from foldhoist.admission.due import DueQueue
 from foldhoist.admission.slots import QueueLimits, Refuse, SlotQueue, Start
 from foldhoist.delivery import replies
@@ -91,7 +91,7 @@
         self._endings = Endings(self.tickets, self.keys, self._peers, self._telling, self.count)
         self.refusals = self._endings.refusals
         self._claims = Claims(self.keys, self._endings, self.count)
-        self._crowding = Crowding()
+        self._concurrency_limit = ConcurrencyLimit()
         self._waiting = Waiting(self.queue, self.tickets, self._endings)
         self._turning_away = TurningAway(self.standing, self._telling, self._waiting, self.tickets)
         self._holding = Holding(
@@ -174,7 +174,7 @@
                     self._cold.answered()
                     told += self._telling.crashes(self.quarantine.answered(now, ticket.identity))
                 told += self._turning_away.answered(ticket.started)
-                self._learn_crowding(now, ticket, served)
+                self._learn_concurrency(now, ticket, served)
                 started = self._apply(now, self.queue.release(now, served))
                 started += self._use_slots(now)
                 return [*self._endings.answered(now, ticket_id, result, served), *started, *told]
@@ -243,7 +243,7 @@
         self._cold.told(now, upstream["cold_ms"] / 1000)
         actions += self._note_cold(now)
         self.service = upstream["service"]
-        self._crowding.announced(upstream["slots"])
+        self._concurrency_limit.set_slots(upstream["slots"])
         actions += self._use_slots(now)
         if upstream["state"] == "ready":
             return [*actions, *self.stay("upstream")]
@@ -333,16 +333,16 @@
                 queue.pace.told(now, pace)
         return self._telling.pace(now)
 
-    def _learn_crowding(self, now: float, ticket: Ticket, served_s: float) -> None:
+    def _learn_concurrency(self, now: float, ticket: Ticket, served_s: float) -> None:
         if self.standing.upstream is not None:
             route = ticket.request.get("route", "")
-            self._crowding.answered(now, route, ticket.beside, served_s)
+            self._concurrency_limit.record_answer(now, route, ticket.beside, served_s)
 
     def _use_slots(self, now: float) -> list[Action]:
         """Use as many slots of an upstream that announces itself as are worth it now."""
         if self.standing.upstream is None:
             return []
-        slots = self._crowding.room(now)
+        slots = self._concurrency_limit.current(now)
         limits = self.queue.limits._replace(slots=slots, queue=slots * QUEUE_PER_SLOT)
         return self.set_queue_limits(now, limits)
 
--- a/tests/unit/admission/test_crowding.py
+++ b/tests/unit/admission/test_concurrency_limit.py
@@ -1,6 +1,6 @@
 """How many slots of an upstream are worth using, learned from its answers.
 
-Symptom: calls waited and were refused beside empty slots. Sequence: an upstream announces three
+Symptom: calls waited and were refused concurrent empty slots. Sequence: an upstream announces three
 slots, its owner used two, whatever came. Cause: a fifth of the slots was left empty at every
 upstream, since some work more slowly when they are close to full; of three slots that is one.
 Figures: a service of 36 slots with work for 28 had 24.
@@ -12,7 +12,11 @@
 
 import pytest
 
-from foldhoist.admission.crowding import CLOSED_FIRST_S, CLOSED_LONGEST_S, Crowding
+from foldhoist.admission.concurrency_limit import (
+    FIRST_REDUCTION_S,
+    MAX_REDUCTION_S,
+    ConcurrencyLimit,
+)
 
 ROUTE = "r"
 CALLS = 400
@@ -28,16 +32,16 @@
     return work
 
 
-def played(crowding: Crowding, seed: int, *, knee: float = 1.0, nested: bool = False) -> int:
+def played(limit: ConcurrencyLimit, seed: int, *, knee: float = 1.0, nested: bool = False) -> int:
     """Answer calls in and out of a crowd; returns how many were answered before it closed."""
     rng = random.Random(seed)
     for number in range(CALLS):
-        beside = rng.randint(1, crowding.slots)
-        in_crowd = beside > crowding.steady
+        concurrent = rng.randint(1, limit.slots)
+        in_crowd = concurrent > limit.safe_slots
         waits = nested and (in_crowd or rng.random() < 0.3)
         took = times(rng, slower=knee if in_crowd else 1.0, nested=waits)
-        crowding.answered(number / 10, ROUTE, beside, took)
-        if crowding.room(number / 10) < crowding.slots:
+        limit.record_answer(number / 10, ROUTE, concurrent, took)
+        if limit.current(number / 10) < limit.slots:
             return number
     return CALLS
 
@@ -45,51 +49,51 @@
 @pytest.mark.parametrize("slots", [3, 5, 12])
 @pytest.mark.parametrize("seed", range(8))
 def test_one_that_slows_in_a_crowd_is_given_fewer_soon(slots: int, seed: int) -> None:
-    crowding = Crowding()
-    crowding.announced(slots)
-    assert crowding.room(0.0) == slots
-    assert played(crowding, seed, knee=2.0) < CALLS / 2
+    limit = ConcurrencyLimit()
+    limit.set_slots(slots)
+    assert limit.current(0.0) == slots
+    assert played(limit, seed, knee=2.0) < CALLS / 2
 
 
 def test_one_that_keeps_its_speed_is_given_all_of_them() -> None:
     closed = 0
     for seed in range(40):
-        crowding = Crowding()
-        crowding.announced(5)
-        closed += played(crowding, seed) < CALLS
+        limit = ConcurrencyLimit()
+        limit.set_slots(5)
+        closed += played(limit, seed) < CALLS
     assert closed <= 8
 
 
 def test_what_was_given_up_is_tried_again_and_given_up_for_longer() -> None:
-    crowding = Crowding()
-    crowding.announced(10)
+    limit = ConcurrencyLimit()
+    limit.set_slots(10)
     now = 0.0
     closed: list[float] = []
     for _ in range(8):
-        while crowding.room(now) == 10:
-            crowding.answered(now, ROUTE, 3, 0.1)
-            crowding.answered(now, ROUTE, 10, 0.2)
+        while limit.current(now) == 10:
+            limit.record_answer(now, ROUTE, 3, 0.1)
+            limit.record_answer(now, ROUTE, 10, 0.2)
         began = now
-        while crowding.room(now) == 8:
+        while limit.current(now) == 8:
             now += 1.0
         closed.append(now - began)
-    assert closed[0] == CLOSED_FIRST_S
+    assert closed[0] == FIRST_REDUCTION_S
     assert closed == sorted(closed)
-    assert closed[-1] == CLOSED_LONGEST_S
+    assert closed[-1] == MAX_REDUCTION_S
 
 
 def test_an_upstream_of_one_slot_is_given_it() -> None:
-    crowding = Crowding()
-    crowding.announced(1)
-    assert crowding.room(0.0) == 1
+    limit = ConcurrencyLimit()
+    limit.set_slots(1)
+    assert limit.current(0.0) == 1
 
 
 def test_another_number_of_slots_is_learned_anew() -> None:
-    crowding = Crowding()
-    crowding.announced(10)
+    limit = ConcurrencyLimit()
+    limit.set_slots(10)
     for _ in range(20):
-        crowding.answered(0.0, ROUTE, 3, 0.1)
-    crowding.announced(4)
+        limit.record_answer(0.0, ROUTE, 3, 0.1)
+    limit.set_slots(4)
     for _ in range(40):
-        crowding.answered(0.0, ROUTE, 4, 0.3)
-    assert crowding.room(0.0) == 4
+        limit.record_answer(0.0, ROUTE, 4, 0.3)
+    assert limit.current(0.0) == 4
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -115,9 +115,9 @@
     ),
     Ablation(
         "slots-below-the-knee",
-        "foldhoist/admission/crowding.py",
-        "SLOWER = 1.3",
-        "SLOWER = 1e9",
+        "foldhoist/admission/concurrency_limit.py",
+        "MAX_SLOWDOWN = 1.3",
+        "MAX_SLOWDOWN = 1e9",
     ),
 )
 
