--- a/foldhoist/daemon/peers_task.py
+++ b/foldhoist/daemon/peers_task.py
@@ -290,9 +290,9 @@
         for record in records:
             suspects = [held_suspect(each, wall_ms) for each in record.held]
             if record.name == self.registry.name:
-                self._quarantine.keep(now, suspects)
+                self._quarantine.restore(now, suspects)
             else:
-                self._quarantine.learned(now, suspects)
+                self._quarantine.merge(now, suspects)
 
     def _registration(self) -> Registration:
         member = self._describe()
--- a/foldhoist/delivery/door.py
+++ b/foldhoist/delivery/door.py
@@ -58,9 +58,9 @@
 
         Upstreams have ended under such calls, and another one would.
         """
-        if not self._quarantine.holding:
+        if not self._quarantine.active:
             return 0.0
-        return self._quarantine.held_s(now, call.identity)
+        return self._quarantine.remaining_s(now, call.identity)
 
     def is_suspect(self, call: Call) -> bool:
         """Return whether an upstream has ended with a call like this at work."""
--- a/foldhoist/delivery/entrance.py
+++ b/foldhoist/delivery/entrance.py
@@ -8,7 +8,7 @@
 from foldhoist.delivery import rules
 from foldhoist.delivery.call import Call
 from foldhoist.delivery.verdict import NotRun
-from foldhoist.quarantine.table import HELD
+from foldhoist.quarantine.table import QUARANTINED
 from foldhoist.routing.routes import NO_RANK, Routed, RouteTable
 
 if TYPE_CHECKING:
@@ -83,7 +83,7 @@
             return _turned_away(now, call_id, req, routed, verdict)
         call = Call(call_id, req, routed, now, now + budget, who.customer)
         if held_s := self._door.held_s(now, call):
-            return _turned_away(now, call_id, req, routed, NotRun(HELD, held_s))
+            return _turned_away(now, call_id, req, routed, NotRun(QUARANTINED, held_s))
         return Entered(call)
 
     def _route(self, req: CallerRequest) -> Routed | None:
--- a/foldhoist/delivery/holding.py
+++ b/foldhoist/delivery/holding.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from foldhoist.delivery.dispatch import CancelCall, Hold, dispatch_identity
-from foldhoist.quarantine.table import HELD
+from foldhoist.quarantine.table import QUARANTINED
 
 if TYPE_CHECKING:
     from foldhoist.delivery.dispatch import Action, Counters
@@ -40,19 +40,19 @@
         like it, has then counted this crash.
         """
         found = [ticket for each in ticket_ids if (ticket := self._tickets.get(each)) is not None]
-        news = self._quarantine.crashed(now, {ticket.identity for ticket in found})
-        held = [row["call"] for row in news if self._quarantine.held_s(now, row["call"])]
+        news = self._quarantine.record_crash(now, {ticket.identity for ticket in found})
+        held = [row["call"] for row in news if self._quarantine.remaining_s(now, row["call"])]
         return [*self._telling.crashes(news), *self._hold(held)]
 
     def learned(self, now: float, suspects: list[Suspect]) -> list[Action]:
         """Take in what another daemon knows of calls that end upstreams."""
-        return self._hold(self._quarantine.learned(now, suspects))
+        return self._hold(self._quarantine.merge(now, suspects))
 
     def held_s(self, now: float, req: Dispatch) -> float:
         """Return for how long a call like this is refused, seconds; 0 if it may run."""
-        if not self._quarantine.holding:
+        if not self._quarantine.active:
             return 0.0
-        return self._quarantine.held_s(now, dispatch_identity(req))
+        return self._quarantine.remaining_s(now, dispatch_identity(req))
 
     def _hold(self, calls: list[str]) -> list[Action]:
         """Refuse waiting calls that would end the upstream, and stop those at work.
@@ -67,5 +67,5 @@
         for ticket_id in found:
             ticket = self._tickets[ticket_id]
             if ticket.running and ticket.request["repeatable"]:
-                actions.append(CancelCall(ticket_id, HELD))
-        return actions + self._waiting.refuse(found, HELD)
+                actions.append(CancelCall(ticket_id, QUARANTINED))
+        return actions + self._waiting.refuse(found, QUARANTINED)
--- a/foldhoist/delivery/ingress.py
+++ b/foldhoist/delivery/ingress.py
@@ -29,7 +29,7 @@
 from foldhoist.delivery.quota_gate import Begin, QuotaGate, Refuse
 from foldhoist.delivery.services import RetrySlack, Services
 from foldhoist.delivery.verdict import Answered, MayHaveRun, NotRun, Response, Verdict
-from foldhoist.quarantine.table import HELD
+from foldhoist.quarantine.table import QUARANTINED
 from foldhoist.routing.picker import NO_CONNECTION, NoChoice, Picker
 
 if TYPE_CHECKING:
@@ -316,7 +316,7 @@
         if call.live:
             return []
         if held_s := self.door.held_s(now, call):
-            return self._give_up(now, call, HELD, held_s)
+            return self._give_up(now, call, QUARANTINED, held_s)
         if not rules.may_retry(now, call, self._services.get(call.service), self.count):
             return self._give_up(now, call, reason, retry_after_s)
         self.count.retried += 1
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -172,7 +172,9 @@
                 told = self._learn_pace(now, result.pace)
                 if result.status < SERVER_ERROR:
                     self._cold.answered()
-                    told += self._telling.crashes(self.quarantine.answered(now, ticket.identity))
+                    told += self._telling.crashes(
+                        self.quarantine.record_answer(now, ticket.identity)
+                    )
                 told += self._turning_away.answered(ticket.started)
                 self._learn_concurrency(now, ticket, served)
                 started = self._apply(now, self.queue.release(now, served))
--- a/foldhoist/delivery/owner_door.py
+++ b/foldhoist/delivery/owner_door.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from foldhoist.delivery.turning_away import SHEDS_ALL
-from foldhoist.quarantine.table import HELD
+from foldhoist.quarantine.table import QUARANTINED
 
 if TYPE_CHECKING:
     from foldhoist.delivery.holding import Holding
@@ -44,7 +44,7 @@
         if not self._tickets.has_room(req):
             return Closed("bodies-full")
         if held_s := self._holding.held_s(now, req):
-            return Closed(HELD, held_s)
+            return Closed(QUARANTINED, held_s)
         if self._turning_away.refuses(now):
             return Closed(SHEDS_ALL, self._turning_away.again_s(now))
         return None
--- a/tests/unit/delivery/test_ingress.py
+++ b/tests/unit/delivery/test_ingress.py
@@ -15,7 +15,7 @@
 from foldhoist.delivery.verdict import Answered, MayHaveRun, NotRun
 from foldhoist.membership.view import homes, tracked
 from foldhoist.quarantine.identity import identity_of
-from foldhoist.quarantine.table import HELD, HOLD_S, Quarantine
+from foldhoist.quarantine.table import QUARANTINE_S, QUARANTINED, Quarantine
 from foldhoist.routing.picker import Member
 
 if TYPE_CHECKING:
@@ -226,9 +226,9 @@
     quarantine = Quarantine("life")
     ingress = make(quarantine=quarantine)
     call = identity_of("GET", "/depo/x", [], b"", "")
-    quarantine.learned(1.0, [suspect(call, "a/1", "b/1")])
+    quarantine.merge(1.0, [suspect(call, "a/1", "b/1")])
     (verdict,) = replies(ingress.arrive(11.0, 1, request()))
-    assert verdict == NotRun(HELD, HOLD_S - 10.0)
+    assert verdict == NotRun(QUARANTINED, QUARANTINE_S - 10.0)
     assert sent(ingress.arrive(11.0, 2, request(path="/depo/y")))
 
 
@@ -237,7 +237,7 @@
     ingress = make(quarantine=quarantine)
     (first,) = sent(ingress.arrive(1.0, 1, request()))
     call = identity_of("GET", "/depo/x", [], b"", "")
-    quarantine.learned(1.1, [suspect(call, "a/1", "b/1")])
+    quarantine.merge(1.1, [suspect(call, "a/1", "b/1")])
     ended = ingress.refusal(1.1, first.target, refusal(first.frame.body["seq"], "maybe"))
     assert [type(each) for each in replies(ended)] == [MayHaveRun]
 
@@ -249,5 +249,5 @@
         ingress._services.get("depo").cfg["hedge_ms"] = 20
         ingress.arrive(2.0, 1, request())
         if suspected:
-            quarantine.learned(2.0, [suspect(identity_of("GET", "/depo/x", [], b"", ""), "a/1")])
+            quarantine.merge(2.0, [suspect(identity_of("GET", "/depo/x", [], b"", ""), "a/1")])
         assert bool(sent(ingress.tick(2.03))) is not suspected
--- a/tests/unit/delivery/test_owner.py
+++ b/tests/unit/delivery/test_owner.py
@@ -22,7 +22,7 @@
 from foldhoist.delivery.owner import Owner
 from foldhoist.delivery.standing import PACE_KEPT_MS, REPLACED
 from foldhoist.delivery.telling import MOST_TOLD
-from foldhoist.quarantine.table import HELD
+from foldhoist.quarantine.table import QUARANTINED
 
 if TYPE_CHECKING:
     import pytest
@@ -341,7 +341,7 @@
     row = {"call": call, "crashes": ["a/1", "b/1"], "refuted": [], "age_ms": 0}
     actions = owner.learn_crashes(0.1, [cast("Any", row)])
     assert Hold([call]) in actions
-    assert CancelCall(started.ticket, HELD) in actions
+    assert CancelCall(started.ticket, QUARANTINED) in actions
     assert said(actions) == [(2, "Refusal", "no")]
     assert said(owner.dispatch(0.2, 0, 1, dispatch(3))) == [(3, "Refusal", "no")]
     assert said(owner.dispatch(0.2, 0, 1, dispatch(4, path="/depo/y"))) == []
@@ -368,6 +368,6 @@
     for seq, status in ((1, 504), (2, 200)):
         (started,) = owner.dispatch(0.0, 0, 1, dispatch(seq))
         call = owner.tickets[started.ticket].identity
-        owner.quarantine.learned(0.0, [{**EMPTY, "call": call, "crashes": ["a/1"]}])
+        owner.quarantine.merge(0.0, [{**EMPTY, "call": call, "crashes": ["a/1"]}])
         owner.finished(0.1, started.ticket, Whole(status, [], b""))
         assert owner.quarantine.is_suspect(call) is (status == 504)
