--- a/foldhoist/admission/cold.py
+++ b/foldhoist/admission/cold.py
@@ -15,7 +15,7 @@
 """What an upstream bears is counted in any span of this length, seconds: it is told as a rate."""
 
 
-SLACK_USED = 0.25
+SLACK_SHARE = 0.25
 """Share of the slack that is given to a cold upstream.
 
 The rest is for what an earlier life of the daemon had on its way.
@@ -42,7 +42,7 @@
         """Return the rate that is used where this much more is borne."""
         if not self.per_s:
             return self
-        more = tolerance.slack * SLACK_USED
+        more = tolerance.slack * SLACK_SHARE
         return self._replace(per_s=self.per_s * tolerance.overage + more)
 
 
@@ -60,7 +60,7 @@
         self._starts: deque[float] = deque()
         self._ramp = Ramp()
 
-    def bound(self, now: float, rate: ColdRate, began: float | None = None) -> None:
+    def set_rate(self, now: float, rate: ColdRate, began: float | None = None) -> None:
         """Take over what the configuration says.
 
         The first time, an earlier life of this daemon may have sent all that is borne just before
@@ -68,25 +68,25 @@
         """
         if not self.rate.per_s and rate.per_s:
             at = now if began is None else min(now, began)
-            self._starts.extendleft([at] * _most(rate.per_s))
+            self._starts.extendleft([at] * _max_starts(rate.per_s))
         self.rate = rate
 
-    def replaced(self) -> None:
+    def reset_on_replacement(self) -> None:
         """Take in that another life of the upstream stands there: the word of the old one ends."""
         self._until = float("-inf")
         if not self.rate.per_s:
             # Where it is told what is borne, a call at a time would keep that from slow calls.
             self._ramp.begin()
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """Take in that the upstream has answered a call."""
-        self._ramp.answered()
+        self._ramp.record_answer()
 
-    def room(self, slots: int) -> int:
+    def usable_slots(self, slots: int) -> int:
         """Return the calls that it may have at once, of its slots."""
-        return self._ramp.room(slots)
+        return self._ramp.usable_slots(slots)
 
-    def told(self, now: float, left_s: float) -> None:
+    def extend(self, now: float, left_s: float) -> None:
         """Take in for how long it is cold, by its own word.
 
         The word may have come late, and it may have turned cold since: a shorter time than the one
@@ -95,24 +95,24 @@
         if left_s > 0.0:
             self._until = max(self._until, now + left_s)
 
-    def seen(self, now: float, left_s: float) -> None:
+    def set_remaining(self, now: float, left_s: float) -> None:
         """Take in for how long it is cold, as it has answered just now."""
         self._until = now + left_s
 
-    def assume(self, now: float) -> None:
+    def assume_cold(self, now: float) -> None:
         """Take it for cold until it says otherwise: it may have turned cold unseen."""
-        self.told(now, self.rate.period_s)
+        self.extend(now, self.rate.period_s)
 
     def is_cold(self, now: float) -> bool:
         """Return whether it is cold, and what it bears is known."""
         return now < self._until and self.rate.per_s > 0.0
 
-    def started(self, now: float) -> None:
+    def record_start(self, now: float) -> None:
         """Count a call that is sent to the upstream."""
         if not self.rate.per_s:
             return
         self._starts.append(now)
-        self._forget(now)
+        self._drop_old_starts(now)
 
     def may_start(self, now: float) -> bool:
         """Return whether it bears another call now."""
@@ -122,12 +122,12 @@
         """Return from when on it bears a call that goes behind `ahead` others."""
         if not self.is_cold(now):
             return now
-        self._forget(now)
-        most = _most(self.rate.per_s)
-        over = ahead + len(self._starts) - most
+        self._drop_old_starts(now)
+        max_starts = _max_starts(self.rate.per_s)
+        over = ahead + len(self._starts) - max_starts
         if over < 0:
             return now
-        turns, place = divmod(over, most)
+        turns, place = divmod(over, max_starts)
         before = self._starts[place] if place < len(self._starts) else now
         return min(self._until, before + (turns + 1) * self._window_s)
 
@@ -135,19 +135,19 @@
         """Return whether it is cold and got more than it bears, as when it turned cold unseen."""
         if not self.is_cold(now):
             return False
-        self._forget(now)
-        return len(self._starts) > _most(self.rate.per_s)
+        self._drop_old_starts(now)
+        return len(self._starts) > _max_starts(self.rate.per_s)
 
     @property
     def _window_s(self) -> float:
         """Return the span in which a whole number of calls is borne, seconds."""
-        return max(WINDOW_S, _most(self.rate.per_s) / self.rate.per_s)
+        return max(WINDOW_S, _max_starts(self.rate.per_s) / self.rate.per_s)
 
-    def _forget(self, now: float) -> None:
+    def _drop_old_starts(self, now: float) -> None:
         while self._starts and self._starts[0] + self._window_s <= now:
             self._starts.popleft()
 
 
-def _most(per_s: float) -> int:
+def _max_starts(per_s: float) -> int:
     """Return the calls that are borne in a window."""
     return max(1, int(per_s * WINDOW_S))
--- a/foldhoist/admission/due.py
+++ b/foldhoist/admission/due.py
@@ -164,11 +164,11 @@
         return min(late_at, ready_at) if ready_at > now else late_at
 
     def _has_room(self, now: float) -> bool:
-        return self.busy < self.cold.room(self.limits.slots) and self.cold.may_start(now)
+        return self.busy < self.cold.usable_slots(self.limits.slots) and self.cold.may_start(now)
 
     def _started(self, now: float, ticket: int, call: QueuedCall) -> Start:
         self.busy += 1
-        self.cold.started(now)
+        self.cold.record_start(now)
         self._refusal_rates.record(now, call.rank, refused=False)
         return Start(ticket)
 
--- a/foldhoist/admission/ramp.py
+++ b/foldhoist/admission/ramp.py
@@ -21,12 +21,12 @@
         """Take in that the upstream has just started."""
         self._room = 1
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """Take in that it has answered a call."""
         if self._room is not None:
             self._room += 1
 
-    def room(self, slots: int) -> int:
+    def usable_slots(self, slots: int) -> int:
         """Return the calls that it may have at once, of its slots."""
         if self._room is not None and self._room >= slots:
             self._room = None
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -171,7 +171,7 @@
                 self.standing.answered(result.status)
                 told = self._learn_pace(now, result.pace)
                 if result.status < SERVER_ERROR:
-                    self._cold.answered()
+                    self._cold.record_answer()
                     told += self._telling.crashes(
                         self.quarantine.record_answer(now, ticket.identity)
                     )
@@ -214,7 +214,7 @@
     def sampled(self, now: float, sample: Sample) -> list[Action]:
         """Take in what the upstream says of itself now; tells ingresses what is news."""
         if sample.cold_s is not None:
-            self._cold.seen(now, sample.cold_s)
+            self._cold.set_remaining(now, sample.cold_s)
         told = self._note_cold(now)
         if sample.pace:
             told += self._learn_pace(now, sample.pace)
@@ -222,27 +222,27 @@
 
     def bound_cold(self, now: float, rate: ColdRate, began: float | None = None) -> list[Action]:
         """Take over what the upstream bears while it is cold; the daemon's process `began` then."""
-        self._cold.bound(now, rate, began)
+        self._cold.set_rate(now, rate, began)
         return self._note_cold(now)
 
     def heard_again(self, now: float, cold_s: float) -> list[Action]:
         """Take in that the upstream announced itself with nothing new but how long it is cold."""
-        self._cold.told(now, cold_s)
+        self._cold.extend(now, cold_s)
         return [*self._note_cold(now), *self.stay(REPLACED)]
 
     def end_evacuation(self, now: float) -> list[Action]:
         """Take work again; the upstream, which had none for a while, may have turned cold."""
-        self._cold.assume(now)
+        self._cold.assume_cold(now)
         return [*self._note_cold(now), *self.stay(EVACUATED)]
 
     def announce(self, now: float, upstream: Announced) -> list[Action]:
         """Take in what the upstream says of itself; "gone" is said when none is known."""
         actions: list[Action] = []
         if self.standing.upstream is not None and self.standing.is_another(upstream):
-            self._cold.replaced()
+            self._cold.reset_on_replacement()
         if self.standing.announce(now, upstream):
             actions += self._waiting.refuse(self.tickets.ids(), REPLACED)
-        self._cold.told(now, upstream["cold_ms"] / 1000)
+        self._cold.extend(now, upstream["cold_ms"] / 1000)
         actions += self._note_cold(now)
         self.service = upstream["service"]
         self._concurrency_limit.set_slots(upstream["slots"])
--- a/tests/unit/admission/test_cold.py
+++ b/tests/unit/admission/test_cold.py
@@ -25,8 +25,8 @@
 def cold(until: float = 100.0) -> ColdStart:
     """Return an upstream that is cold, of which all is known since long."""
     found = ColdStart()
-    found.bound(-100.0, RATE)
-    found.told(0.0, until)
+    found.set_rate(-100.0, RATE)
+    found.extend(0.0, until)
     return found
 
 
@@ -52,7 +52,7 @@
     def may_start(now: float) -> bool:
         may = upstream.may_start(now)
         if may:
-            upstream.started(now)
+            upstream.record_start(now)
         return may
 
     starts = let_in(gaps, may_start)
@@ -69,11 +69,11 @@
 
 def test_what_it_got_before_it_was_known_to_be_cold_counts() -> None:
     upstream = ColdStart()
-    upstream.bound(-100.0, RATE)
+    upstream.set_rate(-100.0, RATE)
     for number in range(12):
         assert upstream.may_start(number * 0.01)
-        upstream.started(number * 0.01)
-    upstream.seen(0.2, 3.0)
+        upstream.record_start(number * 0.01)
+    upstream.set_remaining(0.2, 3.0)
     assert upstream.is_overloaded(0.2)
     assert not upstream.may_start(0.9)
     assert upstream.may_start(1.2)
@@ -81,59 +81,59 @@
 
 def test_a_daemon_that_has_just_started_knows_nothing_of_the_second_before() -> None:
     upstream = ColdStart()
-    upstream.bound(5.0, RATE)
-    upstream.told(5.1, 3.0)
+    upstream.set_rate(5.0, RATE)
+    upstream.extend(5.1, 3.0)
     assert not upstream.may_start(5.9)
     assert upstream.may_start(6.0)
 
 
 def test_a_late_word_does_not_end_it_and_an_answer_of_now_does() -> None:
     upstream = cold(until=3.0)
-    upstream.told(0.5, 0.0)
-    upstream.told(0.5, 1.0)
+    upstream.extend(0.5, 0.0)
+    upstream.extend(0.5, 1.0)
     assert upstream.is_cold(2.9)
     assert not upstream.is_cold(3.0)
-    upstream.told(3.5, 3.0)
-    upstream.seen(4.0, 0.0)
+    upstream.extend(3.5, 3.0)
+    upstream.set_remaining(4.0, 0.0)
     assert not upstream.is_cold(4.0)
 
 
 def test_the_word_of_the_life_before_ends_with_it() -> None:
     upstream = cold(until=60.0)
-    upstream.replaced()
+    upstream.reset_on_replacement()
     assert not upstream.is_cold(0.1)
 
 
 def test_one_that_was_given_nothing_for_a_while_is_taken_for_cold() -> None:
     upstream = ColdStart()
-    upstream.bound(-100.0, RATE)
-    upstream.assume(1.0)
+    upstream.set_rate(-100.0, RATE)
+    upstream.assume_cold(1.0)
     assert upstream.is_cold(3.9)
     assert not upstream.is_cold(4.0)
 
 
 def test_nothing_is_held_back_where_it_is_not_known_what_is_borne() -> None:
     upstream = ColdStart()
-    upstream.bound(0.0, ColdRate())
-    upstream.told(0.0, 60.0)
+    upstream.set_rate(0.0, ColdRate())
+    upstream.extend(0.0, 60.0)
     for _ in range(100):
         assert upstream.may_start(0.0)
-        upstream.started(0.0)
+        upstream.record_start(0.0)
 
 
 def test_a_rate_below_one_call_a_second_spans_more_than_a_second() -> None:
     upstream = ColdStart()
-    upstream.bound(-100.0, ColdRate(0.5, 30.0))
-    upstream.told(0.0, 30.0)
-    upstream.started(0.0)
+    upstream.set_rate(-100.0, ColdRate(0.5, 30.0))
+    upstream.extend(0.0, 30.0)
+    upstream.record_start(0.0)
     assert upstream.ready_at(1.0) == 2.0
     assert upstream.ready_at(1.0, ahead=1) == 4.0
 
 
 def test_the_queue_starts_what_is_borne_and_says_when_the_next_may_start() -> None:
     queue = DueQueue(QueueLimits(20, 60, 0, 8))
-    queue.cold.bound(-100.0, ColdRate(2.0, 3.0))
-    queue.cold.told(0.0, 60.0)
+    queue.cold.set_rate(-100.0, ColdRate(2.0, 3.0))
+    queue.cold.extend(0.0, 60.0)
     urgent, usual = QueuedCall(2.0, 1.8, 0.1, 3.0), QueuedCall(2.5, 2.0, 0.1, 3.0, rank=1)
     assert type(queue.submit(0.0, 1, usual)) is Start
     assert type(queue.submit(0.0, 2, usual)) is Start
@@ -151,13 +151,13 @@
 
 def test_what_an_earlier_life_of_the_daemon_sent_counts_from_when_this_one_began() -> None:
     upstream = ColdStart()
-    upstream.bound(0.7, ColdRate(5.0, 3.0), began=0.1)
-    upstream.told(0.7, 3.0)
+    upstream.set_rate(0.7, ColdRate(5.0, 3.0), began=0.1)
+    upstream.extend(0.7, 3.0)
     assert not upstream.may_start(0.7)
     assert upstream.ready_at(0.7) == pytest.approx(1.1)
     late = ColdStart()
-    late.bound(0.7, ColdRate(5.0, 3.0), began=9.0)
-    late.told(0.7, 3.0)
+    late.set_rate(0.7, ColdRate(5.0, 3.0), began=9.0)
+    late.extend(0.7, 3.0)
     assert late.ready_at(0.7) == pytest.approx(1.7)
 
 
--- a/tests/unit/admission/test_ramp.py
+++ b/tests/unit/admission/test_ramp.py
@@ -43,7 +43,7 @@
         state["life"] += 1
         state["up"] = True
         if ramped:
-            queue.cold.replaced()
+            queue.cold.reset_on_replacement()
 
     def work(ticket: int, life: int):  # type: ignore[no-untyped-def]
         if queue.busy > BORNE_AT_FIRST + state["answers"] and state["up"]:
@@ -55,7 +55,7 @@
         state["answers"] += good
         state["answered"] += good
         if good:
-            queue.cold.answered()
+            queue.cold.record_answer()
         start(queue.release(env.now, WORK_S if good else None))
 
     def back():  # type: ignore[no-untyped-def]
@@ -91,9 +91,9 @@
 
 def test_where_it_is_told_what_is_borne_that_alone_counts() -> None:
     queue = DueQueue(QueueLimits(SLOTS, 100, 0, 8))
-    queue.cold.bound(-10.0, ColdRate(4.0, 3.0))
-    queue.cold.replaced()
-    queue.cold.told(0.0, 3.0)
+    queue.cold.set_rate(-10.0, ColdRate(4.0, 3.0))
+    queue.cold.reset_on_replacement()
+    queue.cold.extend(0.0, 3.0)
     call = QueuedCall(9.0, 8.0, WORK_S, 10.0)
     started = [type(queue.submit(0.0, ticket, call)) for ticket in range(6)]
     assert started == [Start] * 4 + [Wait] * 2
@@ -101,11 +101,11 @@
 
 def test_room_grows_with_answers_to_all_slots() -> None:
     ramp = Ramp()
-    assert ramp.room(3) == 3
+    assert ramp.usable_slots(3) == 3
     ramp.begin()
     rooms = []
     for _ in range(4):
-        rooms.append(ramp.room(3))
-        ramp.answered()
+        rooms.append(ramp.usable_slots(3))
+        ramp.record_answer()
     assert rooms == [1, 2, 3, 3]
-    assert ramp.room(9) == 9
+    assert ramp.usable_slots(9) == 9
