--- a/foldhoist/delivery/standing.py
+++ b/foldhoist/delivery/standing.py
@@ -157,6 +157,6 @@
     def _shown_state(self) -> str:
         if self.leaving:
             return "leaving"
-        if self.shedding.all and self.state != "down":
+        if self.shedding.sheds_all and self.state != "down":
             return "refusing"
         return "cold" if self.cold and self.state == "warm" else self.state
--- a/foldhoist/delivery/turning_away.py
+++ b/foldhoist/delivery/turning_away.py
@@ -33,22 +33,22 @@
 
     def refuses(self, now: float) -> bool:
         """Return whether a call that arrives now is refused."""
-        return not self._standing.shedding.takes(now)
+        return not self._standing.shedding.admits(now)
 
     def again_s(self, now: float) -> float:
         """Return when a call may be taken, seconds."""
-        return self._standing.shedding.again_s(now)
+        return self._standing.shedding.retry_after_s(now)
 
     def turned_away(self, now: float) -> list[Action]:
         """Take in that the upstream has turned a call away."""
-        if not self._standing.shedding.turned_away(now):
+        if not self._standing.shedding.record_rejection(now):
             return []
         return [*self._telling.all(), *self._waiting.refuse(self._tickets.ids(), SHEDS_ALL)]
 
     def answered(self, started: float) -> list[Action]:
         """Take in that the upstream has run a call that had started then."""
-        return self._telling.all() if self._standing.shedding.answered(started) else []
+        return self._telling.all() if self._standing.shedding.record_answer(started) else []
 
     def tick(self, now: float) -> list[Action]:
         """Ask an ingress for a call if it is time to find out."""
-        return self._telling.invite(now) if self._standing.shedding.invites(now) else []
+        return self._telling.invite(now) if self._standing.shedding.should_invite(now) else []
--- a/tests/unit/delivery/test_turning_away.py
+++ b/tests/unit/delivery/test_turning_away.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from foldhoist.admission.shedding import IN_A_ROW, Shedding
+from foldhoist.admission.shedding import REJECTIONS_IN_A_ROW, Shedding
 from foldhoist.delivery.dispatch import SendTo, Shed, StartCall, Whole
 from foldhoist.delivery.turning_away import SHEDS_ALL
 from foldhoist.routing.picker import Choice, Member, NoChoice, Picker
@@ -146,22 +146,22 @@
     shedding = Shedding()
     for number in range(200):
         now = number / 10
-        assert shedding.takes(now)
-        if number % IN_A_ROW:
-            assert not shedding.turned_away(now)
+        assert shedding.admits(now)
+        if number % REJECTIONS_IN_A_ROW:
+            assert not shedding.record_rejection(now)
         else:
-            shedding.answered(now)
+            shedding.record_answer(now)
 
 
 def test_an_answer_to_a_call_from_before_says_nothing_of_now() -> None:
     shedding = Shedding()
-    for _ in range(IN_A_ROW):
-        shedding.turned_away(1.0)
-    assert shedding.all
-    assert not shedding.answered(0.5)
-    assert shedding.all
-    assert shedding.answered(1.1)
-    assert shedding.takes(1.1)
+    for _ in range(REJECTIONS_IN_A_ROW):
+        shedding.record_rejection(1.0)
+    assert shedding.sheds_all
+    assert not shedding.record_answer(0.5)
+    assert shedding.sheds_all
+    assert shedding.record_answer(1.1)
+    assert shedding.admits(1.1)
 
 
 def test_calls_that_wait_go_elsewhere_and_a_new_life_is_trusted() -> None:
@@ -171,7 +171,7 @@
     (first,) = tickets[0]
     assert isinstance(first, StartCall)
     told: list[Any] = owner.finished(0.1, first.ticket, Shed(0.1))
-    for seq in range(5, 4 + IN_A_ROW):
+    for seq in range(5, 4 + REJECTIONS_IN_A_ROW):
         (start,) = [each for each in told if isinstance(each, StartCall)]
         owner.dispatch(0.1, 0, 1, dispatch(seq))
         told = owner.finished(0.1, start.ticket, Shed(0.1))
@@ -192,11 +192,11 @@
     for number in range(800):
         now = number / 50
         while running and running[0][0] <= now:
-            shedding.answered(running.pop(0)[1])
-        if not shedding.takes(now):
+            shedding.record_answer(running.pop(0)[1])
+        if not shedding.admits(now):
             refused += 1
         elif rng.random() < 0.55:
-            shedding.turned_away(now)
+            shedding.record_rejection(now)
         else:
             running.append((now + WORK_S, now))
     assert refused <= 20
