--- a/foldhoist/admission/completion.py
+++ b/foldhoist/admission/completion.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-ROOM = 1.4
+TIME_MARGIN = 1.4
 """Time that is kept for a call, in times of how long such calls take: some take longer."""
 
 
@@ -17,7 +17,7 @@
     Until it can no longer be answered when it is `due`. A call that can't be on time from the
     beginning is of use until its `deadline`.
     """
-    needed_s = expect_s * ROOM
+    needed_s = expect_s * TIME_MARGIN
     if now + needed_s <= due:
         return min(due, deadline) - needed_s
     return deadline - needed_s
@@ -30,4 +30,4 @@
     """
     if not objective_s:
         return 0.0
-    return max(objective_s - expect_s * ROOM, expect_s * ROOM)
+    return max(objective_s - expect_s * TIME_MARGIN, expect_s * TIME_MARGIN)
--- a/foldhoist/admission/due.py
+++ b/foldhoist/admission/due.py
@@ -12,8 +12,8 @@
 
 from foldhoist.admission.cold import ColdStart
 from foldhoist.admission.completion import latest_start
-from foldhoist.admission.nested import CallersOfRoutes
-from foldhoist.admission.pace import PaceWatch
+from foldhoist.admission.nested import RouteCallers
+from foldhoist.admission.pace import PaceMonitor
 from foldhoist.admission.refusal_rates import RefusalRates
 from foldhoist.admission.slots import DEFAULT_SERVICE_S, SMOOTHING, Refuse, Start, Wait
 
@@ -21,7 +21,7 @@
     from foldhoist.admission.slots import Decision, QueueLimits
     from foldhoist.schema.messages import Dispatch
 
-RANK_S = 0.02
+RANK_DELAY_S = 0.02
 """Each rank counts as if its calls were due this much later, seconds."""
 
 
@@ -54,9 +54,9 @@
         self.limits = limits
         self.busy = 0
         self.service_s = DEFAULT_SERVICE_S
-        self.pace = PaceWatch()
+        self.pace = PaceMonitor()
         self.cold = ColdStart()
-        self._callers = CallersOfRoutes()
+        self._callers = RouteCallers()
         self._waiting: dict[int, QueuedCall] = {}
         self._refusal_rates = RefusalRates()
         self._on_time: list[tuple[tuple[bool, float], int]] = []
@@ -80,12 +80,12 @@
         one, which is lost if it is refused: it waits longer, and is of use until its deadline.
         """
         route = req.get("route", "")
-        self._callers.learn(route, req.get("caller", ""))
+        self._callers.record(route, req.get("caller", ""))
         nested = self._callers.is_nested(route)
         rank = max(0, req.get("rank", 0))
         if nested:
             rank = max(0, req.get("parent_rank", rank))
-        due = now + req.get("due_ms", req["budget_ms"]) / 1000 + rank * RANK_S
+        due = now + req.get("due_ms", req["budget_ms"]) / 1000 + rank * RANK_DELAY_S
         expect_s = req.get("expect_ms", 0) / 1000
         low_priority = req.get("scarce", False) or self._refusal_rates.is_low_priority(now, rank)
         call = QueuedCall(due, start_by, expect_s, deadline, None, rank, low_priority)
--- a/foldhoist/admission/pace.py
+++ b/foldhoist/admission/pace.py
@@ -6,19 +6,19 @@
 
 from __future__ import annotations
 
-USUAL = 100.0
+NORMAL_PACE = 100.0
 """Pace of an upstream that works as usual, percent."""
-SLOW = 1.5
+SLOW_FACTOR = 1.5
 """An upstream is in a slow spell from this many times its usual time on."""
-FIRST_SPELL_S = 0.2
+DEFAULT_SLOW_PERIOD_S = 0.2
 """Length assumed of a slow spell before any has ended, seconds."""
 SMOOTHING = 0.1
 """Weight of the newest spell in the running mean of their lengths."""
-FRESH_S = 0.25
+MAX_AGE_S = 0.25
 """A pace that was told longer ago than this says nothing of now, seconds."""
 
 
-class PaceWatch:
+class PaceMonitor:
     """The pace of one upstream as it is told, and how long its slow spells last.
 
     Times are monotonic seconds.
@@ -26,21 +26,21 @@
 
     def __init__(self) -> None:
         self._factor = 1.0
-        self._told_at = float("-inf")
+        self._recorded_at = float("-inf")
         self._slow_since: float | None = None
-        self._spell_s = FIRST_SPELL_S
+        self._slow_period_s = DEFAULT_SLOW_PERIOD_S
 
-    def told(self, now: float, pace: int) -> None:
+    def record(self, now: float, pace: int) -> None:
         """Take in a pace, percent; 0 if none was told."""
         if not pace:
             return
-        self._factor = pace / USUAL
-        self._told_at = now
-        if self._factor >= SLOW:
+        self._factor = pace / NORMAL_PACE
+        self._recorded_at = now
+        if self._factor >= SLOW_FACTOR:
             if self._slow_since is None:
                 self._slow_since = now
         elif self._slow_since is not None:
-            self._spell_s += SMOOTHING * (now - self._slow_since - self._spell_s)
+            self._slow_period_s += SMOOTHING * (now - self._slow_since - self._slow_period_s)
             self._slow_since = None
 
     def is_worth_waiting(self, now: float, usual_s: float) -> bool:
@@ -49,7 +49,7 @@
         A spell is taken to last as long again as spells do, or as this one has lasted if that is
         longer: an upstream that is slow for good is not waited for.
         """
-        if self._slow_since is None or now - self._told_at > FRESH_S:
+        if self._slow_since is None or now - self._recorded_at > MAX_AGE_S:
             return False
-        left_s = max(self._spell_s, now - self._slow_since)
+        left_s = max(self._slow_period_s, now - self._slow_since)
         return usual_s * (self._factor - 1.0) > left_s
--- a/foldhoist/admission/retries.py
+++ b/foldhoist/admission/retries.py
@@ -17,7 +17,7 @@
     an attempt is an attempt with that chance, so that all together make as many as they may.
     """
 
-    held: float
+    capacity: float
     per_s: float
     window_s: float
 
@@ -32,7 +32,7 @@
     """Attempts that a budget begins with where daemons share no slack."""
     CAP = 20.0
     """Attempts that are held at most there."""
-    MOST_OWED = 20.0
+    MAX_DEBT = 20.0
     """Most attempts that repeats made elsewhere may take in advance.
 
     About what a daemon with 20 calls a second earns in 10 s, after which repeats do not count.
@@ -41,14 +41,14 @@
     def __init__(self, share: float, rng: Random) -> None:
         self.share = share
         self._rng = rng
-        self._chance = rng.random()
+        self._threshold = rng.random()
         self._slack: SlackPart | None = None
         self.cap = self.CAP
         self._at = 0.0
-        self._given = 0.0
+        self._granted = 0.0
         self._tokens = self.RESERVE if share > 0 else 0.0
 
-    def bound(self, now: float, slack: SlackPart) -> None:
+    def set_slack(self, now: float, slack: SlackPart) -> None:
         """Take a part of a slack that daemons share, in place of a reserve.
 
         A budget that begins is given one attempt at most, less where many share the slack, and
@@ -56,16 +56,16 @@
         what its earlier life has spent; what it was given too much is taken back as it learns.
         """
         if self._slack is None:
-            self._tokens = self._given = min(1.0, slack.held)
+            self._tokens = self._granted = min(1.0, slack.capacity)
             self._at = now + slack.window_s
-        elif now < self._at and slack.held < self._given:
-            self._tokens -= self._given - slack.held
-            self._given = slack.held
+        elif now < self._at and slack.capacity < self._granted:
+            self._tokens -= self._granted - slack.capacity
+            self._granted = slack.capacity
         self._slack = slack
-        self.cap = max(1.0, slack.held)
+        self.cap = max(1.0, slack.capacity)
         self._tokens = min(self._tokens, self.cap)
 
-    def call(self, now: float = 0.0, repeat: float = 0.0) -> None:
+    def record_call(self, now: float = 0.0, repeat: float = 0.0) -> None:
         """Count a first attempt, which earns `share` of a further one.
 
         `repeat` is how likely it is a part of a further attempt at another service, 0 to 1. It is
@@ -74,7 +74,7 @@
         """
         self._refill(now)
         earned = self.share * (1.0 - repeat) - repeat
-        self._tokens = max(-self.MOST_OWED, min(self.cap, self._tokens + earned))
+        self._tokens = max(-self.MAX_DEBT, min(self.cap, self._tokens + earned))
 
     def spend(self, now: float = 0.0) -> bool:
         """Take one further attempt if the budget has it."""
@@ -82,13 +82,13 @@
         if self._tokens < self._needed():
             return False
         self._tokens -= 1.0
-        self._chance = self._rng.random()
+        self._threshold = self._rng.random()
         return True
 
     def _needed(self) -> float:
         # With whole attempts only, daemons that each see few calls would never retry any.
-        if self._slack is not None and self._slack.held < 1.0:
-            return self._chance
+        if self._slack is not None and self._slack.capacity < 1.0:
+            return self._threshold
         return 1.0
 
     def _refill(self, now: float) -> None:
@@ -96,9 +96,11 @@
         if self._slack is None or passed <= 0.0:
             return
         self._at = now
-        held = self._slack.held
-        if self._tokens > held:
+        capacity = self._slack.capacity
+        if self._tokens > capacity:
             # Many daemons would else each keep an attempt for when all have a reason to retry.
-            self._tokens = held + (self._tokens - held) * exp(-passed / self._slack.window_s)
+            self._tokens = capacity + (self._tokens - capacity) * exp(
+                -passed / self._slack.window_s
+            )
         else:
-            self._tokens = min(held, self._tokens + passed * self._slack.per_s)
+            self._tokens = min(capacity, self._tokens + passed * self._slack.per_s)
--- a/foldhoist/delivery/ingress.py
+++ b/foldhoist/delivery/ingress.py
@@ -284,7 +284,7 @@
         if state is None:
             return self._give_up(now, call, "service-removed", 1.0)
         call.begun = True
-        state.budget.call(now, call.req.repeat)
+        state.budget.record_call(now, call.req.repeat)
         actions = self._attempt(now, call)
         if hedge_s := rules.hedge_after_s(call, state):
             self._book.remind(now + hedge_s, call, Timer.HEDGE)
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -332,7 +332,7 @@
         self.standing.pace = pace
         match self.queue:
             case DueQueue() as queue:
-                queue.pace.told(now, pace)
+                queue.pace.record(now, pace)
         return self._telling.pace(now)
 
     def _learn_concurrency(self, now: float, ticket: Ticket, served_s: float) -> None:
--- a/foldhoist/delivery/services.py
+++ b/foldhoist/delivery/services.py
@@ -109,7 +109,7 @@
             for target in state.picker.tracks:
                 state.picker.linked(target, now, target in up, fresh=False)
             if self._slack is not None:
-                state.budget.bound(now, self._slack.part(daemons))
+                state.budget.set_slack(now, self._slack.part(daemons))
 
     def linked(self, now: float, target: str, up: bool, fresh: bool) -> None:
         """Take in that the connection to an owner stands or fell; `fresh` marks a new life."""
--- a/tests/unit/admission/test_nested.py
+++ b/tests/unit/admission/test_nested.py
@@ -7,18 +7,25 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from foldhoist.admission.nested import KEPT_CALLS, LEAST_CALLS, ONE_SERVICE, CallersOfRoutes
+from foldhoist.admission.nested import (
+    HALVE_AFTER_CALLS,
+    MIN_CALLS,
+    SINGLE_CALLER_SHARE,
+    RouteCallers,
+)
 
 
-def learned(*calls: tuple[str, str, int]) -> CallersOfRoutes:
-    callers = CallersOfRoutes()
+def recorded(*calls: tuple[str, str, int]) -> RouteCallers:
+    callers = RouteCallers()
     for route, caller, times in calls:
         for _ in range(times):
-            callers.learn(route, caller)
+            callers.record(route, caller)
     return callers
 
 
-def test_a_route_called_from_one_service_only_is_nested_where_others_are_called_from_all() -> None:
+def test_a_route_called_single_caller_service_only_is_nested_where_others_are_called_from_all() -> (
+    None
+):
     callers = learned(("stock", "web", 30), ("pledge", "web", 20), ("pledge", "pay", 20))
     assert callers.is_nested("stock")
     assert not callers.is_nested("pledge")
@@ -34,7 +41,7 @@
     assert not learned(("stock", "", 50), ("pledge", "", 50)).is_nested("stock")
 
 
-def test_where_all_calls_come_from_one_service_none_is_taken_for_nested() -> None:
+def test_where_all_calls_come_single_caller_service_none_is_taken_for_nested() -> None:
     """There is nothing to compare with: perhaps only that service's hosts have callers."""
     assert not learned(("stock", "web", 50), ("pledge", "web", 50)).is_nested("stock")
 
@@ -42,7 +49,7 @@
 def test_what_was_learned_gives_way_to_what_comes_now() -> None:
     callers = learned(("stock", "web", 1000), ("pledge", "web", 20), ("pledge", "pay", 20))
     for number in range(400):
-        callers.learn("stock", ("pay", "web")[number % 2])
+        callers.record("stock", ("pay", "web")[number % 2])
     assert not callers.is_nested("stock")
 
 
@@ -51,10 +58,12 @@
     shares: dict[str, float] = {}
     for name in {name for name, _ in calls}:
         counts = Counter(caller for of, caller in calls if of == name)
-        if counts.total() >= LEAST_CALLS:
+        if counts.total() >= MIN_CALLS:
             shares[name] = max(counts.values()) / counts.total()
     mine = shares.get(route, 0.0)
-    return mine >= ONE_SERVICE and any(share < ONE_SERVICE for share in shares.values())
+    return mine >= SINGLE_CALLER_SHARE and any(
+        share < SINGLE_CALLER_SHARE for share in shares.values()
+    )
 
 
 @given(
@@ -66,7 +75,7 @@
     runs: list[tuple[str, str, int]],
 ) -> None:
     calls = [(route, caller) for route, caller, times in runs for _ in range(times)]
-    assert len(calls) <= KEPT_CALLS
+    assert len(calls) <= HALVE_AFTER_CALLS
     callers = learned(*runs)
     for route in "rstx":
         assert callers.is_nested(route) == judged_anew(calls, route)
--- a/tests/unit/admission/test_pace.py
+++ b/tests/unit/admission/test_pace.py
@@ -3,58 +3,58 @@
 from __future__ import annotations
 
 from foldhoist.admission.due import DueQueue, QueuedCall
-from foldhoist.admission.pace import FIRST_SPELL_S, FRESH_S, PaceWatch
+from foldhoist.admission.pace import DEFAULT_SLOW_PERIOD_S, MAX_AGE_S, PaceMonitor
 from foldhoist.admission.slots import QueueLimits, Refuse, Start, Wait
 
 LONG_S = 0.3
 SHORT_S = 0.01
 
 
-def slow_at(now: float, pace: int = 500) -> PaceWatch:
-    watch = PaceWatch()
-    watch.told(now, pace)
-    return watch
+def slow_at(now: float, pace: int = 500) -> PaceMonitor:
+    monitor = PaceMonitor()
+    monitor.record(now, pace)
+    return monitor
 
 
 def test_work_that_a_spell_makes_longer_than_the_spell_lasts_is_worth_waiting_for() -> None:
     assert slow_at(1.0).is_worth_waiting(1.0, LONG_S)
     assert not slow_at(1.0).is_worth_waiting(1.0, SHORT_S)
     assert not slow_at(1.0, 110).is_worth_waiting(1.0, LONG_S)
-    assert not PaceWatch().is_worth_waiting(1.0, LONG_S)
+    assert not PaceMonitor().is_worth_waiting(1.0, LONG_S)
 
 
 def test_what_was_told_long_ago_says_nothing_of_now() -> None:
-    assert not slow_at(1.0).is_worth_waiting(1.0 + FRESH_S + 0.01, LONG_S)
+    assert not slow_at(1.0).is_worth_waiting(1.0 + MAX_AGE_S + 0.01, LONG_S)
 
 
 def test_an_upstream_that_stays_slow_is_not_waited_for() -> None:
-    watch = PaceWatch()
+    monitor = PaceMonitor()
     waited = 0.0
     for step in range(200):
-        watch.told(step * 0.02, 500)
-        if watch.is_worth_waiting(step * 0.02, LONG_S):
+        monitor.record(step * 0.02, 500)
+        if monitor.is_worth_waiting(step * 0.02, LONG_S):
             waited = step * 0.02
-    assert FIRST_SPELL_S < waited < LONG_S * 4.5
+    assert DEFAULT_SLOW_PERIOD_S < waited < LONG_S * 4.5
 
 
 def test_spells_that_prove_long_are_waited_for_by_longer_work_only() -> None:
-    watch = PaceWatch()
+    monitor = PaceMonitor()
     for spell in range(60):
         for step in range(40):
-            watch.told(spell + step * 0.02, 500)
-        watch.told(spell + 0.8, 100)
-    watch.told(100.0, 500)
-    assert not watch.is_worth_waiting(100.0, 0.15)
-    assert watch.is_worth_waiting(100.0, 0.25)
+            monitor.record(spell + step * 0.02, 500)
+        monitor.record(spell + 0.8, 100)
+    monitor.record(100.0, 500)
+    assert not monitor.is_worth_waiting(100.0, 0.15)
+    assert monitor.is_worth_waiting(100.0, 0.25)
 
 
 def test_a_call_starts_when_the_spell_ends_and_a_short_one_meanwhile() -> None:
     slots = DueQueue(QueueLimits(4, 10, 0, 8))
-    slots.pace.told(0.0, 500)
+    slots.pace.record(0.0, 500)
     assert slots.submit(0.0, 1, QueuedCall(1.0, 0.6, LONG_S, 3.0)) == Wait(1)
     assert slots.submit(0.0, 2, QueuedCall(0.9, 0.6, SHORT_S, 3.0)) == Start(2)
     assert slots.advance(0.02) == []
-    slots.pace.told(0.1, 100)
+    slots.pace.record(0.1, 100)
     assert slots.advance(0.1) == [Start(1)]
 
 
@@ -63,7 +63,7 @@
 ):
     slots = DueQueue(QueueLimits(4, 10, 0, 8))
     for step in range(10):
-        slots.pace.told(step * 0.05, 500)
+        slots.pace.record(step * 0.05, 500)
     assert slots.submit(0.45, 1, QueuedCall(1.0, 0.58, LONG_S, 3.0)) == Wait(1)
     assert slots.expire(0.57) == []
     assert [type(each) for each in slots.expire(0.58)] == [Refuse]
--- a/tests/unit/admission/test_retries.py
+++ b/tests/unit/admission/test_retries.py
@@ -17,7 +17,7 @@
     budget = RetryBudget(0.1, random.Random(1))
     retries = 0
     for _ in range(1000):
-        budget.call()
+        budget.record_call()
         retries += budget.spend()
     assert retries <= 1000 * 0.1 + RetryBudget.RESERVE
 
@@ -25,28 +25,28 @@
 def test_a_call_that_is_a_repeat_itself_costs_a_retry() -> None:
     """Symptom: repeats added up along a chain. Cause: each earned a share of a further attempt."""
     budget = RetryBudget(0.1, random.Random(1))
-    budget.call(repeat=1.0)
+    budget.record_call(repeat=1.0)
     for _ in range(9):
-        budget.call()
+        budget.record_call()
     assert sum(budget.spend() for _ in range(9)) == 2
     half = RetryBudget(0.5, random.Random(1))
     for _ in range(100):
-        half.call(repeat=0.5)
+        half.record_call(repeat=0.5)
     assert not half.spend()
 
 
 def test_what_repeats_owe_has_an_end() -> None:
     budget = RetryBudget(0.5, random.Random(1))
     for _ in range(1000):
-        budget.call(repeat=1.0)
-    for _ in range(2 * int(RetryBudget.MOST_OWED) + 2):
-        budget.call()
+        budget.record_call(repeat=1.0)
+    for _ in range(2 * int(RetryBudget.MAX_DEBT) + 2):
+        budget.record_call()
     assert budget.spend()
 
 
 def test_no_share_means_no_retry() -> None:
     budget = RetryBudget(0.0, random.Random(1))
-    budget.call()
+    budget.record_call()
     assert not budget.spend()
 
 
@@ -88,7 +88,7 @@
         """Let a call enter at a daemon; one that fails is sent again as often as it may be."""
         self.calls.append(self.now)
         budget = self.budgets[daemon]
-        budget.call(self.now)
+        budget.record_call(self.now)
         for _ in range(ATTEMPTS - 1 if fails else 0):
             if budget.spend(self.now):
                 self.spent.append(self.now)
--- a/tests/unit/delivery/test_ingress.py
+++ b/tests/unit/delivery/test_ingress.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from bench.stages import fleet_text
-from foldhoist.admission.completion import ROOM
+from foldhoist.admission.completion import TIME_MARGIN
 from foldhoist.config.fleet import parse_fleet
 from foldhoist.delivery.call import CallerRequest, Reply, SendTo
 from foldhoist.delivery.ingress import Ingress
@@ -163,7 +163,7 @@
         (0.2, 0, 0.0, 0.2),
         (9.0, 0, 0.0, PARK_S),
         (9.0, 200, 0.0, 0.2),
-        (9.0, 200, 0.1, 0.2 - 0.1 * ROOM),
+        (9.0, 200, 0.1, 0.2 - 0.1 * TIME_MARGIN),
         (9.0, 200, 0.5, PARK_S),
     ):
         ingress = make(linked=False, objective_ms=objective_ms)
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -50,8 +50,8 @@
     Ablation(
         "rank-in-the-order",
         "foldhoist/admission/due.py",
-        "RANK_S = 0.02",
-        "RANK_S = 0.0",
+        "RANK_DELAY_S = 0.02",
+        "RANK_DELAY_S = 0.0",
     ),
     Ablation(
         "nested-calls-first",
