--- a/foldhoist/admission/concurrency_limit.py
+++ b/foldhoist/admission/concurrency_limit.py
@@ -1,9 +1,8 @@
-"""Whether an upstream still keeps its speed when all its slots are taken; no I/O, no clock.
+"""Learns how many calls an upstream runs at full speed; no I/O, no clock.
 
-Some upstreams work more slowly when they are close to full, and then the last slots are worth
-nothing; others don't, and leaving slots empty there is current thrown away while calls wait. Nothing
-tells which they are, but answers do: those of calls that started concurrent many others, held against
-those of calls that did not.
+Some upstreams slow down when nearly all their slots are in use, others don't, and they don't say
+which. Service times of calls started under high concurrency are compared with those of calls
+started under low concurrency; if they are clearly longer, the last slots stay unused for a while.
 """
 
 from __future__ import annotations
--- a/foldhoist/quarantine/table.py
+++ b/foldhoist/quarantine/table.py
@@ -41,7 +41,7 @@
 """Calls that are remembered as answered by the upstream beside this daemon; the oldest go first."""
 
 
-class _Suspect:
+class _CrashRecord:
     """What is known of one call; `at` is when its last crash was, monotonic seconds."""
 
     __slots__ = ("at", "crashes", "refuted")
@@ -63,13 +63,13 @@
 class Quarantine:
     """The calls that are suspected and those that are refused; `now` is monotonic seconds.
 
-    `incarnation` is the name of this incarnation of the daemon, by which its crashes are told from all others.
+    `incarnation` identifies this run of the daemon and prefixes the names of its crashes.
     """
 
     def __init__(self, incarnation: str = "") -> None:
         self._incarnation = incarnation
         self._count = 0
-        self._suspects: OrderedDict[str, _Suspect] = OrderedDict()
+        self._suspects: OrderedDict[str, _CrashRecord] = OrderedDict()
         self._quarantined: set[str] = set()
         self._own: set[str] = set()
         self._answered: OrderedDict[str, None] = OrderedDict()
@@ -159,7 +159,7 @@
     def _note(self, call: str, crashes: set[str], refuted: set[str], at: float) -> None:
         suspect = self._suspects.get(call)
         if suspect is None:
-            suspect = self._suspects[call] = _Suspect()
+            suspect = self._suspects[call] = _CrashRecord()
         if crashes - suspect.crashes:
             suspect.at = max(suspect.at, at)
             self._suspects.move_to_end(call)
--- a/tests/unit/admission/test_nested.py
+++ b/tests/unit/admission/test_nested.py
@@ -15,7 +15,7 @@
 )
 
 
-def recorded(*calls: tuple[str, str, int]) -> RouteCallers:
+def learned(*calls: tuple[str, str, int]) -> RouteCallers:
     callers = RouteCallers()
     for route, caller, times in calls:
         for _ in range(times):
@@ -23,9 +23,7 @@
     return callers
 
 
-def test_a_route_called_single_caller_service_only_is_nested_where_others_are_called_from_all() -> (
-    None
-):
+def test_a_route_called_from_one_service_only_is_nested_where_others_are_called_from_all() -> None:
     callers = learned(("stock", "web", 30), ("pledge", "web", 20), ("pledge", "pay", 20))
     assert callers.is_nested("stock")
     assert not callers.is_nested("pledge")
@@ -41,7 +39,7 @@
     assert not learned(("stock", "", 50), ("pledge", "", 50)).is_nested("stock")
 
 
-def test_where_all_calls_come_single_caller_service_none_is_taken_for_nested() -> None:
+def test_where_all_calls_come_from_one_service_none_is_taken_for_nested() -> None:
     """There is nothing to compare with: perhaps only that service's hosts have callers."""
     assert not learned(("stock", "web", 50), ("pledge", "web", 50)).is_nested("stock")
 
