--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -24,7 +24,7 @@
     Whole,
 )
 from foldhoist.delivery.endings import LOCAL_LINK
-from foldhoist.delivery.standing import EVACUATED
+from foldhoist.delivery.upstream_status import EVACUATED
 from foldhoist.membership.lives import life_of
 from foldhoist.routing.sampling import SamplePlan
 
@@ -141,7 +141,7 @@
 
     def announce(self, upstream: Announced) -> None:
         """Take in what the upstream says of itself."""
-        before = self.owner.standing.upstream
+        before = self.owner.status.upstream
         if before is not None and not life_of(before).is_same(life_of(upstream)):
             self.pool.forget()
         self.sampler.instance = upstream["instance"]
@@ -165,7 +165,7 @@
         Afterwards the upstream gets what it bears if it has turned cold, until it says that it has
         not.
         """
-        if evacuated == (EVACUATED in self.owner.standing.leaving_why):
+        if evacuated == (EVACUATED in self.owner.status.leaving_why):
             return
         before = self.owner.load()["state"]
         if evacuated:
@@ -236,7 +236,7 @@
     def _log_change(self, before: str) -> None:
         after = self.owner.load()["state"]
         if after != before:
-            why = ", ".join(self.owner.standing.leaving_why) or "upstream"
+            why = ", ".join(self.owner.status.leaving_why) or "upstream"
             logger.info("upstream {} (by {}), was {}", after, why, before)
 
     def _message(self, conn: FrameConnection, kind: str, body: Any) -> None:
@@ -301,7 +301,7 @@
         hop = self.owner.ended(now, ticket, result)
         if isinstance(result, Whole):
             self.sampler.heard(result.pace)
-        self.owner.standing.watched = self.sampler.watching
+        self.owner.status.watched = self.sampler.watching
         if _is_away(result):
             self._look_for_upstream()
         self._carry_out(self.owner.finished(now, ticket, result))
@@ -309,7 +309,7 @@
             self._on_hop(hop)
 
     def _sampled(self, sample: Sample) -> None:
-        self.owner.standing.watched = self.sampler.watching
+        self.owner.status.watched = self.sampler.watching
         self._carry_out(self.owner.sampled(self._loop.time(), sample))
 
     def _tell_refusals(self) -> None:
@@ -356,12 +356,12 @@
 
         One that does not announce itself is watched by its health path instead.
         """
-        if self._reaching is None and self.owner.standing.upstream is not None:
+        if self._reaching is None and self.owner.status.upstream is not None:
             self.set_state("down")
             self._reaching = self._loop.create_task(self._reach())
 
     async def _reach(self) -> None:
-        while self.owner.standing.upstream is not None:
+        while self.owner.status.upstream is not None:
             await asyncio.sleep(REACH_S)
             if await self.pool.reach():
                 break
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -36,10 +36,10 @@
 from foldhoist.delivery.keys import KeyTable
 from foldhoist.delivery.owner_door import OwnerDoor
 from foldhoist.delivery.peers import Peers, drop_acked
-from foldhoist.delivery.standing import EVACUATED, REPLACED, Standing
 from foldhoist.delivery.telling import Telling, crashes_frame
 from foldhoist.delivery.tickets import Tickets
 from foldhoist.delivery.turning_away import TurningAway
+from foldhoist.delivery.upstream_status import EVACUATED, REPLACED, UpstreamStatus
 from foldhoist.delivery.waiting import Waiting
 from foldhoist.quarantine.table import Quarantine
 
@@ -83,21 +83,21 @@
         self.keys = KeyTable(name, key_window_s)
         self.count = Counters()
         self.quarantine = quarantine if quarantine is not None else Quarantine()
-        self.standing = Standing()
+        self.status = UpstreamStatus()
         self._cold = self.queue.cold if isinstance(self.queue, DueQueue) else ColdStart()
         self._peers = Peers()
-        self._telling = Telling(self.standing, self.queue, self._peers)
+        self._telling = Telling(self.status, self.queue, self._peers)
         self.tickets = Tickets(bodies)
         self._endings = Endings(self.tickets, self.keys, self._peers, self._telling, self.count)
         self.refusals = self._endings.refusals
         self._claims = Claims(self.keys, self._endings, self.count)
         self._crowding = Crowding()
         self._waiting = Waiting(self.queue, self.tickets, self._endings)
-        self._turning_away = TurningAway(self.standing, self._telling, self._waiting, self.tickets)
+        self._turning_away = TurningAway(self.status, self._telling, self._waiting, self.tickets)
         self._holding = Holding(
             self.quarantine, self.tickets, self._telling, self._waiting, self.count
         )
-        self._door = OwnerDoor(self.standing, self.tickets, self._holding, self._turning_away)
+        self._door = OwnerDoor(self.status, self.tickets, self._holding, self._turning_away)
 
     # What the tasks tell it
 
@@ -168,7 +168,7 @@
         served = now - ticket.started
         match result:
             case Whole():
-                self.standing.answered(result.status)
+                self.status.answered(result.status)
                 told = self._learn_pace(now, result.pace)
                 if result.status < SERVER_ERROR:
                     self._cold.answered()
@@ -179,7 +179,7 @@
                 started += self._use_slots(now)
                 return [*self._endings.answered(now, ticket_id, result, served), *started, *told]
             case Shed():
-                self.standing.state = "shedding"
+                self.status.state = "shedding"
                 noted = self._turning_away.turned_away(now)
                 again_s = result.retry_after_s
                 return [*noted, *self._turned_away(now, ticket_id, "upstream-shed", again_s)]
@@ -189,7 +189,7 @@
                 return [*told, *waiting, *self._turned_away(now, ticket_id, REPLACED, 0.0)]
             case Broken():
                 self.count.lost += 1
-                self.standing.broke()
+                self.status.broke()
                 started = self._apply(now, self.queue.release(now, None))
                 ran = "maybe" if result.sent else "no"
                 return [*self._endings.refused(ticket_id, ran, result.reason, 0.5), *started]
@@ -236,9 +236,9 @@
     def announce(self, now: float, upstream: Announced) -> list[Action]:
         """Take in what the upstream says of itself; "gone" is said when none is known."""
         actions: list[Action] = []
-        if self.standing.upstream is not None and self.standing.is_another(upstream):
+        if self.status.upstream is not None and self.status.is_another(upstream):
             self._cold.replaced()
-        if self.standing.announce(now, upstream):
+        if self.status.announce(now, upstream):
             actions += self._waiting.refuse(self.tickets.ids(), REPLACED)
         self._cold.told(now, upstream["cold_ms"] / 1000)
         actions += self._note_cold(now)
@@ -258,15 +258,15 @@
 
     def set_state(self, state: str) -> list[Action]:
         """Take in what the upstream says of itself; tells every ingress if it changed."""
-        return self._telling.all() if self.standing.set_state(state) else []
+        return self._telling.all() if self.status.set_state(state) else []
 
     def leave(self, source: str) -> list[Action]:
         """Stop taking new work, because `source` says that the upstream is leaving."""
-        return self._telling.all() if self.standing.leave(source) else []
+        return self._telling.all() if self.status.leave(source) else []
 
     def stay(self, source: str) -> list[Action]:
         """Take back what `source` said; other sources still count."""
-        return self._telling.all() if self.standing.stay(source) else []
+        return self._telling.all() if self.status.stay(source) else []
 
     def tick(self, now: float) -> list[Action]:
         """Refuse what has waited too long, drop what nobody will ask for, forget old peers."""
@@ -286,7 +286,7 @@
     @property
     def leaving(self) -> bool:
         """Return whether this upstream takes no new work."""
-        return self.standing.leaving
+        return self.status.leaving
 
     @property
     def calls(self) -> int:
@@ -321,26 +321,26 @@
     def _note_cold(self, now: float) -> list[Action]:
         """Tell every ingress if the upstream has turned cold or warm."""
         cold = self._cold.is_cold(now)
-        if cold == self.standing.cold:
+        if cold == self.status.cold:
             return []
-        self.standing.cold = cold
+        self.status.cold = cold
         return self._telling.all()
 
     def _learn_pace(self, now: float, pace: int) -> list[Action]:
-        self.standing.pace = pace
+        self.status.pace = pace
         match self.queue:
             case DueQueue() as queue:
                 queue.pace.told(now, pace)
         return self._telling.pace(now)
 
     def _learn_crowding(self, now: float, ticket: Ticket, served_s: float) -> None:
-        if self.standing.upstream is not None:
+        if self.status.upstream is not None:
             route = ticket.request.get("route", "")
             self._crowding.answered(now, route, ticket.beside, served_s)
 
     def _use_slots(self, now: float) -> list[Action]:
         """Use as many slots of an upstream that announces itself as are worth it now."""
-        if self.standing.upstream is None:
+        if self.status.upstream is None:
             return []
         slots = self._crowding.room(now)
         shape = self.queue.shape._replace(slots=slots, queue=slots * QUEUE_PER_SLOT)
@@ -365,7 +365,7 @@
         actions: list[Action] = []
         for decision in decisions:
             match decision:
-                case Start(ticket_id) if now > self.standing.stop_at:
+                case Start(ticket_id) if now > self.status.stop_at:
                     actions += self._apply(now, self.queue.release(now, None))
                     actions += self._endings.refused(ticket_id, "no", "upstream-leaving", 0.0)
                 case Start(ticket_id):
@@ -379,7 +379,7 @@
         ticket.beside = self.queue.busy
         self.count.dispatched += 1
         self.count.repeats += ticket.request["retried"]
-        instance = self.standing.instance
+        instance = self.status.instance
         return StartCall(ticket_id, ticket.request, ticket.deadline - now, instance)
 
     def _turned_away(
--- a/foldhoist/delivery/owner_door.py
+++ b/foldhoist/delivery/owner_door.py
@@ -9,9 +9,9 @@
 
 if TYPE_CHECKING:
     from foldhoist.delivery.holding import Holding
-    from foldhoist.delivery.standing import Standing
     from foldhoist.delivery.tickets import Tickets
     from foldhoist.delivery.turning_away import TurningAway
+    from foldhoist.delivery.upstream_status import UpstreamStatus
     from foldhoist.schema.messages import Dispatch
 
 
@@ -26,20 +26,20 @@
     """What decides whether a call is taken in; times are monotonic seconds."""
 
     def __init__(
-        self, standing: Standing, tickets: Tickets, holding: Holding, turning_away: TurningAway
+        self, status: UpstreamStatus, tickets: Tickets, holding: Holding, turning_away: TurningAway
     ) -> None:
-        self._standing = standing
+        self._status = status
         self._tickets = tickets
         self._holding = holding
         self._turning_away = turning_away
 
     def closed(self, now: float, req: Dispatch, service: str) -> Closed | None:
         """Return why a call is not taken in, or None; `service` is the upstream's."""
-        if self._standing.leaving:
-            return Closed(self._standing.refusal)
+        if self._status.leaving:
+            return Closed(self._status.refusal)
         if req["service"] != service:
             return Closed("not-my-service")
-        if self._standing.state == "down":
+        if self._status.state == "down":
             return Closed("upstream-down")
         if not self._tickets.has_room(req):
             return Closed("bodies-full")
--- a/foldhoist/delivery/replies.py
+++ b/foldhoist/delivery/replies.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from foldhoist.delivery.dispatch import Broken, Ended, Frame, Refused, Replaced, Shed, Whole
-from foldhoist.delivery.standing import REPLACED
+from foldhoist.delivery.upstream_status import REPLACED
 
 if TYPE_CHECKING:
     from foldhoist.delivery.dispatch import Result, Ticket
--- a/foldhoist/delivery/telling.py
+++ b/foldhoist/delivery/telling.py
@@ -5,14 +5,14 @@
 from typing import TYPE_CHECKING
 
 from foldhoist.delivery.dispatch import Frame, SendTo, Spread
-from foldhoist.delivery.standing import PACE_KEPT_MS
+from foldhoist.delivery.upstream_status import PACE_KEPT_MS
 
 if TYPE_CHECKING:
     from foldhoist.admission.due import DueQueue
     from foldhoist.admission.slots import SlotQueue
     from foldhoist.delivery.dispatch import Action
     from foldhoist.delivery.peers import Peers
-    from foldhoist.delivery.standing import Standing
+    from foldhoist.delivery.upstream_status import UpstreamStatus
     from foldhoist.schema.messages import Load, Suspect
 
 MOST_TOLD = 24
@@ -27,15 +27,15 @@
 class Telling:
     """Reports of one owner; times are monotonic seconds."""
 
-    def __init__(self, standing: Standing, queue: SlotQueue | DueQueue, peers: Peers) -> None:
-        self._standing = standing
+    def __init__(self, status: UpstreamStatus, queue: SlotQueue | DueQueue, peers: Peers) -> None:
+        self._status = status
         self._queue = queue
         self._peers = peers
         self._invited = 0
 
     def load(self) -> Load:
         """Return the load as it is now."""
-        return self._standing.load(self._queue)
+        return self._status.load(self._queue)
 
     def all(self) -> list[Action]:
         """Tell every ingress."""
@@ -55,7 +55,7 @@
 
     def pace(self, now: float) -> list[Action]:
         """Tell the pace, if it is news, to the ingresses that have had calls here of late."""
-        if not self._standing.is_pace_news():
+        if not self._status.is_pace_news():
             return []
         return self._to(self._peers.users(now - PACE_KEPT_MS / 1000, MOST_TOLD))
 
--- a/foldhoist/delivery/turning_away.py
+++ b/foldhoist/delivery/turning_away.py
@@ -6,9 +6,9 @@
 
 if TYPE_CHECKING:
     from foldhoist.delivery.dispatch import Action
-    from foldhoist.delivery.standing import Standing
     from foldhoist.delivery.telling import Telling
     from foldhoist.delivery.tickets import Tickets
+    from foldhoist.delivery.upstream_status import UpstreamStatus
     from foldhoist.delivery.waiting import Waiting
 
 SHEDS_ALL = "upstream-sheds-all"
@@ -24,31 +24,31 @@
     """
 
     def __init__(
-        self, standing: Standing, telling: Telling, waiting: Waiting, tickets: Tickets
+        self, status: UpstreamStatus, telling: Telling, waiting: Waiting, tickets: Tickets
     ) -> None:
-        self._standing = standing
+        self._status = status
         self._telling = telling
         self._waiting = waiting
         self._tickets = tickets
 
     def refuses(self, now: float) -> bool:
         """Return whether a call that arrives now is refused."""
-        return not self._standing.shedding.takes(now)
+        return not self._status.shedding.takes(now)
 
     def again_s(self, now: float) -> float:
         """Return when a call may be taken, seconds."""
-        return self._standing.shedding.again_s(now)
+        return self._status.shedding.again_s(now)
 
     def turned_away(self, now: float) -> list[Action]:
         """Take in that the upstream has turned a call away."""
-        if not self._standing.shedding.turned_away(now):
+        if not self._status.shedding.turned_away(now):
             return []
         return [*self._telling.all(), *self._waiting.refuse(self._tickets.ids(), SHEDS_ALL)]
 
     def answered(self, started: float) -> list[Action]:
         """Take in that the upstream has run a call that had started then."""
-        return self._telling.all() if self._standing.shedding.answered(started) else []
+        return self._telling.all() if self._status.shedding.answered(started) else []
 
     def tick(self, now: float) -> list[Action]:
         """Ask an ingress for a call if it is time to find out."""
-        return self._telling.invite(now) if self._standing.shedding.invites(now) else []
+        return self._telling.invite(now) if self._status.shedding.invites(now) else []
--- a/foldhoist/delivery/standing.py
+++ b/foldhoist/delivery/upstream_status.py
@@ -33,7 +33,7 @@
 """Calls that wait when the upstream begins to leave may still start for this long, seconds."""
 
 
-class Standing:
+class UpstreamStatus:
     """The upstream as its owner sees it; times are monotonic seconds."""
 
     def __init__(self) -> None:
--- a/tests/integration/mutants.py
+++ b/tests/integration/mutants.py
@@ -9,7 +9,7 @@
 from foldhoist.admission.bucket import TokenBucket
 from foldhoist.daemon import prober
 from foldhoist.daemon.upstream import UpstreamConnection
-from foldhoist.delivery import ingress, keys, standing
+from foldhoist.delivery import ingress, keys, upstream_status
 
 
 def fate_says_no() -> None:
@@ -58,7 +58,7 @@
 
 def no_leaving() -> None:
     """An owner takes new work whatever it is told."""
-    standing.Standing.leave = lambda self, source: False  # type: ignore[method-assign]
+    upstream_status.UpstreamStatus.leave = lambda self, source: False  # type: ignore[method-assign]
 
 
 def no_probe_budget() -> None:
--- a/tests/unit/delivery/test_owner.py
+++ b/tests/unit/delivery/test_owner.py
@@ -20,8 +20,8 @@
     Whole,
 )
 from foldhoist.delivery.owner import Owner
-from foldhoist.delivery.standing import PACE_KEPT_MS, REPLACED
 from foldhoist.delivery.telling import MOST_TOLD
+from foldhoist.delivery.upstream_status import PACE_KEPT_MS, REPLACED
 from foldhoist.quarantine.table import HELD
 
 if TYPE_CHECKING:
--- a/tests/unit/delivery/test_owner_cold.py
+++ b/tests/unit/delivery/test_owner_cold.py
@@ -14,7 +14,7 @@
 from foldhoist.admission.slots import Shape
 from foldhoist.delivery.dispatch import Sample, SendTo, StartCall
 from foldhoist.delivery.owner import Owner
-from foldhoist.delivery.standing import EVACUATED
+from foldhoist.delivery.upstream_status import EVACUATED
 from foldhoist.quarantine.table import Quarantine
 from tests.unit.delivery.test_owner import dispatch, hello
 
