--- a/bench/world.py
+++ b/bench/world.py
@@ -123,7 +123,7 @@
 
     def leave(self, name: str) -> None:
         """Let an upstream leave."""
-        self.carry_owner(name, self.owners[name].leave("drain"))
+        self.carry_owner(name, self.owners[name].set_leaving("drain"))
 
     def tick_owner(self, name: str) -> None:
         """Give an owner the time."""
--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -153,7 +153,7 @@
             return
         self.draining = True
         logger.info("draining")
-        self.owner_task.leave("drain")
+        self.owner_task.set_leaving("drain")
         self.shared.closing = True
         loop = asyncio.get_running_loop()
         limit = loop.time() + self.cfg["limits"]["drain_ms"] / 1000
@@ -262,9 +262,9 @@
         self.owner_task.bound_cold(rate)
         self.owner_task.set_evacuated(target["data_centre"] in evacuated(fleet))
         if target["state"] == "serving":
-            self.owner_task.stay("configuration")
+            self.owner_task.clear_leaving("configuration")
         else:
-            self.owner_task.leave("configuration")
+            self.owner_task.set_leaving("configuration")
         self.handover.adopt(state.generation, fleet)
 
     def _on_peer(self, link: int, kind: str, body: Any) -> None:
@@ -286,9 +286,9 @@
 
     def _on_host(self, state: str) -> None:
         if state == "leaving":
-            self.owner_task.leave("host-list")
+            self.owner_task.set_leaving("host-list")
         elif state == "live":
-            self.owner_task.stay("host-list")
+            self.owner_task.clear_leaving("host-list")
 
     def _local_frame(self, kind: str, body: Any) -> None:
         self.ingress_task.message(self.name, kind, body)
--- a/foldhoist/daemon/operators.py
+++ b/foldhoist/daemon/operators.py
@@ -97,7 +97,7 @@
         "reader": daemon.configuration.peers.place.reader,
         "log_reachable": daemon.configuration.log_ok,
         "load": daemon.owner.load(),
-        "leaving_why": sorted(daemon.owner.status.leaving_why),
+        "leaving_why": sorted(daemon.owner.status.leaving_sources),
         "keys_pending": sorted(daemon.owner.keys.pending),
         "keys_since_ms": daemon.owner.keys.since_ms,
         "quotas": daemon.quotas.status(),
--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -165,11 +165,11 @@
         Afterwards the upstream gets what it bears if it has turned cold, until it says that it has
         not.
         """
-        if evacuated == (EVACUATED in self.owner.status.leaving_why):
+        if evacuated == (EVACUATED in self.owner.status.leaving_sources):
             return
         before = self.owner.load()["state"]
         if evacuated:
-            self._carry_out(self.owner.leave(EVACUATED))
+            self._carry_out(self.owner.set_leaving(EVACUATED))
         else:
             self._carry_out(self.owner.end_evacuation(self._loop.time()))
             self.sampler.ask()
@@ -221,22 +221,22 @@
         self._carry_out(self.owner.set_state(state))
         self._log_change(before)
 
-    def leave(self, source: str) -> None:
+    def set_leaving(self, source: str) -> None:
         """Stop taking new work."""
         before = self.owner.load()["state"]
-        self._carry_out(self.owner.leave(source))
+        self._carry_out(self.owner.set_leaving(source))
         self._log_change(before)
 
-    def stay(self, source: str) -> None:
+    def clear_leaving(self, source: str) -> None:
         """Take back what a source said."""
         before = self.owner.load()["state"]
-        self._carry_out(self.owner.stay(source))
+        self._carry_out(self.owner.clear_leaving(source))
         self._log_change(before)
 
     def _log_change(self, before: str) -> None:
         after = self.owner.load()["state"]
         if after != before:
-            why = ", ".join(self.owner.status.leaving_why) or "upstream"
+            why = ", ".join(self.owner.status.leaving_sources) or "upstream"
             logger.info("upstream {} (by {}), was {}", after, why, before)
 
     def _message(self, conn: FrameConnection, kind: str, body: Any) -> None:
--- a/foldhoist/daemon/stopping.py
+++ b/foldhoist/daemon/stopping.py
@@ -43,7 +43,7 @@
         daemon.shared.closing = True
         daemon.ingress_task.ingress.door.stop(limit)
         await self._wait_until(lambda: not daemon.shared.open, began + CLOSE_S)
-        daemon.owner_task.leave("drain")
+        daemon.owner_task.set_leaving("drain")
         daemon.close_door()
         await self._wait_until(self._all_closed, limit)
         for conn in list(daemon.shared.open):
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -184,7 +184,7 @@
                 again_s = result.retry_after_s
                 return [*noted, *self._turned_away(now, ticket_id, "upstream-shed", again_s)]
             case Replaced():
-                told = self.leave(REPLACED)
+                told = self.set_leaving(REPLACED)
                 waiting = self._waiting.refuse(self.tickets.ids(), REPLACED)
                 return [*told, *waiting, *self._turned_away(now, ticket_id, REPLACED, 0.0)]
             case Broken():
@@ -226,12 +226,12 @@
     def heard_again(self, now: float, cold_s: float) -> list[Action]:
         """Take in that the upstream announced itself with nothing new but how long it is cold."""
         self._cold.told(now, cold_s)
-        return [*self._note_cold(now), *self.stay(REPLACED)]
+        return [*self._note_cold(now), *self.clear_leaving(REPLACED)]
 
     def end_evacuation(self, now: float) -> list[Action]:
         """Take work again; the upstream, which had none for a while, may have turned cold."""
         self._cold.assume(now)
-        return [*self._note_cold(now), *self.stay(EVACUATED)]
+        return [*self._note_cold(now), *self.clear_leaving(EVACUATED)]
 
     def announce(self, now: float, upstream: Announced) -> list[Action]:
         """Take in what the upstream says of itself; "gone" is said when none is known."""
@@ -246,8 +246,8 @@
         self._crowding.announced(upstream["slots"])
         actions += self._use_slots(now)
         if upstream["state"] == "ready":
-            return [*actions, *self.stay("upstream")]
-        return [*actions, *self.leave("upstream")]
+            return [*actions, *self.clear_leaving("upstream")]
+        return [*actions, *self.set_leaving("upstream")]
 
     def reshape(self, now: float, shape: Shape) -> list[Action]:
         """Take over the sizes of the queue; tells every ingress if the slots are others."""
@@ -260,13 +260,13 @@
         """Take in what the upstream says of itself; tells every ingress if it changed."""
         return self._telling.all() if self.status.set_state(state) else []
 
-    def leave(self, source: str) -> list[Action]:
+    def set_leaving(self, source: str) -> list[Action]:
         """Stop taking new work, because `source` says that the upstream is leaving."""
-        return self._telling.all() if self.status.leave(source) else []
+        return self._telling.all() if self.status.set_leaving(source) else []
 
-    def stay(self, source: str) -> list[Action]:
+    def clear_leaving(self, source: str) -> list[Action]:
         """Take back what `source` said; other sources still count."""
-        return self._telling.all() if self.status.stay(source) else []
+        return self._telling.all() if self.status.clear_leaving(source) else []
 
     def tick(self, now: float) -> list[Action]:
         """Refuse what has waited too long, drop what nobody will ask for, forget old peers."""
--- a/foldhoist/delivery/upstream_status.py
+++ b/foldhoist/delivery/upstream_status.py
@@ -41,7 +41,7 @@
         self.upstream: Announced | None = None
         self.pace = 0
         self.errors = 0.0
-        self.leaving_why: dict[str, bool] = {}
+        self.leaving_sources: dict[str, bool] = {}
         self.stop_at = float("inf")
         self.watched = False
         self.cold = False
@@ -52,13 +52,13 @@
     @property
     def leaving(self) -> bool:
         """Return whether the upstream takes no new work."""
-        return bool(self.leaving_why)
+        return bool(self.leaving_sources)
 
     @property
     def refusal(self) -> str:
         """Return why an upstream that takes no new work is not offered a call."""
         for reason in (REPLACED, EVACUATED):
-            if reason in self.leaving_why:
+            if reason in self.leaving_sources:
                 return reason
         return "upstream-leaving"
 
@@ -72,10 +72,10 @@
 
     def set_state(self, state: str) -> bool:
         """Take in a state that was seen; returns whether it is news. Who leaves stays leaving."""
-        if self.leaving_why.get("upstream"):
+        if self.leaving_sources.get("upstream"):
             return False
         if state == "leaving":
-            return self.leave("upstream")
+            return self.set_leaving("upstream")
         before, self.state = self.state, state
         return before != state
 
@@ -94,26 +94,26 @@
             self.pace = 0
             self.errors = 0.0
             self.shedding = Shedding()
-            self.leaving_why.pop("upstream", None)
-            self.leaving_why.pop(REPLACED, None)
+            self.leaving_sources.pop("upstream", None)
+            self.leaving_sources.pop(REPLACED, None)
             # The leaving of the life before binds that life alone.
             self.stop_at = float("inf")
         if upstream["state"] != "ready":
             self.stop_at = min(self.stop_at, now + LEAVING_QUEUE_S)
         return before is not None and before["service"] != upstream["service"]
 
-    def leave(self, source: str) -> bool:
+    def set_leaving(self, source: str) -> bool:
         """Take in that `source` says that it is leaving; returns whether that is news."""
-        if self.leaving_why.get(source):
+        if self.leaving_sources.get(source):
             return False
-        self.leaving_why[source] = True
+        self.leaving_sources[source] = True
         return True
 
-    def stay(self, source: str) -> bool:
+    def clear_leaving(self, source: str) -> bool:
         """Take back what `source` said; returns whether it had said so."""
-        if not self.leaving_why.pop(source, False):
+        if not self.leaving_sources.pop(source, False):
             return False
-        if not self.leaving_why:
+        if not self.leaving_sources:
             self.stop_at = float("inf")
         return True
 
--- a/tests/integration/mutants.py
+++ b/tests/integration/mutants.py
@@ -58,7 +58,7 @@
 
 def no_leaving() -> None:
     """An owner takes new work whatever it is told."""
-    upstream_status.UpstreamStatus.leave = lambda self, source: False  # type: ignore[method-assign]
+    upstream_status.UpstreamStatus.set_leaving = lambda self, source: False  # type: ignore[method-assign]
 
 
 def no_probe_budget() -> None:
--- a/tests/unit/delivery/test_owner.py
+++ b/tests/unit/delivery/test_owner.py
@@ -151,7 +151,7 @@
         assert isinstance(start, StartCall)
         assert reached(owner.finished(0.2, start.ticket, result)) == [was_there]
     owner = make()
-    owner.leave("drain")
+    owner.set_leaving("drain")
     assert reached(owner.dispatch(0.1, 0, 1, dispatch(2))) == [False]
 
 
@@ -187,7 +187,7 @@
     assert isinstance(start, StartCall)
     owner.finished(0.2, start.ticket, Replaced())
     assert owner.leaving
-    assert len(said(owner.stay(REPLACED))) == 1
+    assert len(said(owner.clear_leaving(REPLACED))) == 1
     assert isinstance(owner.dispatch(0.3, 0, 1, dispatch(2))[-1], StartCall)
 
 
@@ -204,12 +204,12 @@
 
 def test_leaving_by_any_source_refuses_and_tells_and_one_taken_back_leaves_the_others() -> None:
     owner = make()
-    assert len(said(owner.leave("host-list"))) == 1
-    owner.leave("drain")
+    assert len(said(owner.set_leaving("host-list"))) == 1
+    owner.set_leaving("drain")
     assert said(owner.dispatch(0.1, 0, 1, dispatch(1))) == [(1, "Refusal", "no")]
-    owner.stay("host-list")
+    owner.clear_leaving("host-list")
     assert owner.leaving
-    owner.stay("drain")
+    owner.clear_leaving("drain")
     assert not owner.leaving
 
 
--- a/tests/unit/delivery/test_owner_cold.py
+++ b/tests/unit/delivery/test_owner_cold.py
@@ -100,7 +100,7 @@
 def test_after_an_evacuation_it_is_cold_until_it_says_otherwise() -> None:
     owner = make("depo-1", Quarantine())
     owner.announce(0.0, announced())
-    assert states(owner.leave(EVACUATED)) == ["leaving"]
+    assert states(owner.set_leaving(EVACUATED)) == ["leaving"]
     assert send(owner, 1.0, 3) == []
     assert states(owner.end_evacuation(10.0))[-1] == "cold"
     assert len(send(owner, 10.1, 24)) == RATE.per_s
