--- a/foldhoist/delivery/endings.py
+++ b/foldhoist/delivery/endings.py
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     from foldhoist.delivery.dispatch import Action, Counters, Peer, Ticket, Whole
     from foldhoist.delivery.keys import KeyTable
+    from foldhoist.delivery.load_reports import LoadReports
     from foldhoist.delivery.peers import Peers
-    from foldhoist.delivery.telling import Telling
     from foldhoist.delivery.tickets import Tickets
     from foldhoist.schema.messages import Dispatch
 
@@ -27,14 +27,14 @@
     """Ends calls: takes them off the tickets, tells all who wait, keeps what may be asked again."""
 
     def __init__(
-        self, tickets: Tickets, keys: KeyTable, peers: Peers, telling: Telling, count: Counters
+        self, tickets: Tickets, keys: KeyTable, peers: Peers, reports: LoadReports, count: Counters
     ) -> None:
         self.joined = Joined()
         self.refusals = RefusalNotes()
         self._tickets = tickets
         self._keys = keys
         self._peers = peers
-        self._telling = telling
+        self._reports = reports
         self._count = count
 
     def answered(self, now: float, ticket_id: int, whole: Whole, served_s: float) -> list[Action]:
@@ -43,7 +43,7 @@
         self._count.answered += 1
         response = Response(whole.status, whole.headers, whole.body)
         times_us = (int((ticket.started - ticket.arrived) * 1e6), int(served_s * 1e6))
-        load = self._telling.load()
+        load = self._reports.load()
         actions: list[Action] = []
         for peer, seq in self._waiters(ticket):
             peer.used_at = now
@@ -60,7 +60,7 @@
         """End a call without an answer; `ran` is "no" or "maybe"."""
         ticket = self._tickets.pop(ticket_id)
         self._count.refused += 1
-        load = self._telling.load()
+        load = self._reports.load()
         if ran == "no":
             self.refusals.note(ticket.request, reason, retry_after_s, load)
         actions: list[Action] = []
@@ -75,7 +75,7 @@
         self, peer: Peer, req: Dispatch, reason: str, retry_after_s: float
     ) -> Action:
         """Send back a call that was not taken in."""
-        load = self._telling.load()
+        load = self._reports.load()
         self.refusals.note(req, reason, retry_after_s, load)
         self._count.refused += 1
         return self.send(
@@ -91,7 +91,7 @@
             frame = peer.kept.get(seq)
             if frame is None:
                 ran, reason = fate_without_result(peer, seq)
-                frame = replies.refusal_frame(seq, ran, reason, 0.0, self._telling.load())
+                frame = replies.refusal_frame(seq, ran, reason, 0.0, self._reports.load())
             frames.append(frame)
         return frames
 
--- a/foldhoist/delivery/holding.py
+++ b/foldhoist/delivery/holding.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from foldhoist.delivery.dispatch import Action, Counters
-    from foldhoist.delivery.telling import Telling
+    from foldhoist.delivery.load_reports import LoadReports
     from foldhoist.delivery.tickets import Tickets
     from foldhoist.delivery.waiting import Waiting
     from foldhoist.quarantine.table import Quarantine
@@ -23,13 +23,13 @@
         self,
         quarantine: Quarantine,
         tickets: Tickets,
-        telling: Telling,
+        reports: LoadReports,
         waiting: Waiting,
         count: Counters,
     ) -> None:
         self._quarantine = quarantine
         self._tickets = tickets
-        self._telling = telling
+        self._reports = reports
         self._waiting = waiting
         self._count = count
 
@@ -42,7 +42,7 @@
         found = [ticket for each in ticket_ids if (ticket := self._tickets.get(each)) is not None]
         news = self._quarantine.crashed(now, {ticket.identity for ticket in found})
         held = [row["call"] for row in news if self._quarantine.held_s(now, row["call"])]
-        return [*self._telling.crashes(news), *self._hold(held)]
+        return [*self._reports.crashes(news), *self._hold(held)]
 
     def learned(self, now: float, suspects: list[Suspect]) -> list[Action]:
         """Take in what another daemon knows of calls that end upstreams."""
--- a/foldhoist/delivery/telling.py
+++ b/foldhoist/delivery/load_reports.py
@@ -15,7 +15,7 @@
     from foldhoist.delivery.upstream_status import UpstreamStatus
     from foldhoist.schema.messages import Load, Suspect
 
-MOST_TOLD = 24
+MAX_PACE_REPORTS = 24
 """Ingresses that are told of a change of the pace, those with the newest calls first.
 
 A report takes 28 bytes of a warm connection (mean of 150) and 40 of headers. A pace that is drawn
@@ -24,40 +24,42 @@
 """
 
 
-class Telling:
+class LoadReports:
     """Reports of one owner; times are monotonic seconds."""
 
     def __init__(self, status: UpstreamStatus, queue: SlotQueue | DueQueue, peers: Peers) -> None:
         self._status = status
         self._queue = queue
         self._peers = peers
-        self._invited = 0
+        self._trials_invited = 0
 
     def load(self) -> Load:
         """Return the load as it is now."""
         return self._status.load(self._queue)
 
-    def all(self) -> list[Action]:
+    def to_all(self) -> list[Action]:
         """Tell every ingress."""
         return self._to(self._peers.links())
 
-    def invite(self, now: float) -> list[Action]:
+    def invite_trial(self, now: float) -> list[Action]:
         """Ask one ingress for a call, by telling it alone that the upstream takes calls.
 
         Those that have had calls here lately are asked in turn.
         """
-        links = self._peers.users(now - PACE_KEPT_MS / 1000, MOST_TOLD) or self._peers.links()
+        links = (
+            self._peers.users(now - PACE_KEPT_MS / 1000, MAX_PACE_REPORTS) or self._peers.links()
+        )
         if not links:
             return []
-        self._invited += 1
+        self._trials_invited += 1
         load: Load = {**self.load(), "state": "warm"}
-        return [SendTo(links[self._invited % len(links)], Frame("Report", {"load": load}))]
+        return [SendTo(links[self._trials_invited % len(links)], Frame("Report", {"load": load}))]
 
-    def pace(self, now: float) -> list[Action]:
+    def pace_change(self, now: float) -> list[Action]:
         """Tell the pace, if it is news, to the ingresses that have had calls here of late."""
         if not self._status.is_pace_news():
             return []
-        return self._to(self._peers.users(now - PACE_KEPT_MS / 1000, MOST_TOLD))
+        return self._to(self._peers.users(now - PACE_KEPT_MS / 1000, MAX_PACE_REPORTS))
 
     def crashes(self, suspects: list[Suspect]) -> list[Action]:
         """Tell every ingress, and have others told, what is new of calls that end upstreams."""
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -34,9 +34,9 @@
 from foldhoist.delivery.endings import Endings
 from foldhoist.delivery.holding import Holding
 from foldhoist.delivery.keys import KeyTable
+from foldhoist.delivery.load_reports import LoadReports, crashes_frame
 from foldhoist.delivery.owner_door import OwnerDoor
 from foldhoist.delivery.peers import Peers, drop_acked
-from foldhoist.delivery.telling import Telling, crashes_frame
 from foldhoist.delivery.tickets import Tickets
 from foldhoist.delivery.turning_away import TurningAway
 from foldhoist.delivery.upstream_status import EVACUATED, REPLACED, UpstreamStatus
@@ -86,16 +86,16 @@
         self.status = UpstreamStatus()
         self._cold = self.queue.cold if isinstance(self.queue, DueQueue) else ColdStart()
         self._peers = Peers()
-        self._telling = Telling(self.status, self.queue, self._peers)
+        self._reports = LoadReports(self.status, self.queue, self._peers)
         self.tickets = Tickets(bodies)
-        self._endings = Endings(self.tickets, self.keys, self._peers, self._telling, self.count)
+        self._endings = Endings(self.tickets, self.keys, self._peers, self._reports, self.count)
         self.refusals = self._endings.refusals
         self._claims = Claims(self.keys, self._endings, self.count)
         self._crowding = Crowding()
         self._waiting = Waiting(self.queue, self.tickets, self._endings)
-        self._turning_away = TurningAway(self.status, self._telling, self._waiting, self.tickets)
+        self._turning_away = TurningAway(self.status, self._reports, self._waiting, self.tickets)
         self._holding = Holding(
-            self.quarantine, self.tickets, self._telling, self._waiting, self.count
+            self.quarantine, self.tickets, self._reports, self._waiting, self.count
         )
         self._door = OwnerDoor(self.status, self.tickets, self._holding, self._turning_away)
 
@@ -172,7 +172,7 @@
                 told = self._learn_pace(now, result.pace)
                 if result.status < SERVER_ERROR:
                     self._cold.answered()
-                    told += self._telling.crashes(self.quarantine.answered(now, ticket.identity))
+                    told += self._reports.crashes(self.quarantine.answered(now, ticket.identity))
                 told += self._turning_away.answered(ticket.started)
                 self._learn_crowding(now, ticket, served)
                 started = self._apply(now, self.queue.release(now, served))
@@ -254,19 +254,19 @@
         before, self.queue.shape = self.queue.shape, shape
         if before.slots == shape.slots:
             return []
-        return [*self._telling.all(), *self._apply(now, self.queue.advance(now))]
+        return [*self._reports.to_all(), *self._apply(now, self.queue.advance(now))]
 
     def set_state(self, state: str) -> list[Action]:
         """Take in what the upstream says of itself; tells every ingress if it changed."""
-        return self._telling.all() if self.status.set_state(state) else []
+        return self._reports.to_all() if self.status.set_state(state) else []
 
     def set_leaving(self, source: str) -> list[Action]:
         """Stop taking new work, because `source` says that the upstream is leaving."""
-        return self._telling.all() if self.status.set_leaving(source) else []
+        return self._reports.to_all() if self.status.set_leaving(source) else []
 
     def clear_leaving(self, source: str) -> list[Action]:
         """Take back what `source` said; other sources still count."""
-        return self._telling.all() if self.status.clear_leaving(source) else []
+        return self._reports.to_all() if self.status.clear_leaving(source) else []
 
     def tick(self, now: float) -> list[Action]:
         """Refuse what has waited too long, drop what nobody will ask for, forget old peers."""
@@ -314,7 +314,7 @@
 
     def load(self) -> Load:
         """Return the load as it is now."""
-        return self._telling.load()
+        return self._reports.load()
 
     # Steps
 
@@ -324,14 +324,14 @@
         if cold == self.status.cold:
             return []
         self.status.cold = cold
-        return self._telling.all()
+        return self._reports.to_all()
 
     def _learn_pace(self, now: float, pace: int) -> list[Action]:
         self.status.pace = pace
         match self.queue:
             case DueQueue() as queue:
                 queue.pace.told(now, pace)
-        return self._telling.pace(now)
+        return self._reports.pace_change(now)
 
     def _learn_crowding(self, now: float, ticket: Ticket, served_s: float) -> None:
         if self.status.upstream is not None:
--- a/foldhoist/delivery/turning_away.py
+++ b/foldhoist/delivery/turning_away.py
@@ -6,7 +6,7 @@
 
 if TYPE_CHECKING:
     from foldhoist.delivery.dispatch import Action
-    from foldhoist.delivery.telling import Telling
+    from foldhoist.delivery.load_reports import LoadReports
     from foldhoist.delivery.tickets import Tickets
     from foldhoist.delivery.upstream_status import UpstreamStatus
     from foldhoist.delivery.waiting import Waiting
@@ -24,10 +24,10 @@
     """
 
     def __init__(
-        self, status: UpstreamStatus, telling: Telling, waiting: Waiting, tickets: Tickets
+        self, status: UpstreamStatus, reports: LoadReports, waiting: Waiting, tickets: Tickets
     ) -> None:
         self._status = status
-        self._telling = telling
+        self._reports = reports
         self._waiting = waiting
         self._tickets = tickets
 
@@ -43,12 +43,12 @@
         """Take in that the upstream has turned a call away."""
         if not self._status.shedding.turned_away(now):
             return []
-        return [*self._telling.all(), *self._waiting.refuse(self._tickets.ids(), SHEDS_ALL)]
+        return [*self._reports.to_all(), *self._waiting.refuse(self._tickets.ids(), SHEDS_ALL)]
 
     def answered(self, started: float) -> list[Action]:
         """Take in that the upstream has run a call that had started then."""
-        return self._telling.all() if self._status.shedding.answered(started) else []
+        return self._reports.to_all() if self._status.shedding.answered(started) else []
 
     def tick(self, now: float) -> list[Action]:
         """Ask an ingress for a call if it is time to find out."""
-        return self._telling.invite(now) if self._status.shedding.invites(now) else []
+        return self._reports.invite_trial(now) if self._status.shedding.invites(now) else []
--- a/tests/unit/delivery/test_owner.py
+++ b/tests/unit/delivery/test_owner.py
@@ -19,8 +19,8 @@
     StartCall,
     Whole,
 )
+from foldhoist.delivery.load_reports import MAX_PACE_REPORTS
 from foldhoist.delivery.owner import Owner
-from foldhoist.delivery.telling import MOST_TOLD
 from foldhoist.delivery.upstream_status import PACE_KEPT_MS, REPLACED
 from foldhoist.quarantine.table import HELD
 
@@ -262,13 +262,13 @@
 
 def test_a_change_of_pace_is_told_to_the_newest_users_and_not_to_all() -> None:
     owner = make()
-    for link in range(2, MOST_TOLD + 10):
+    for link in range(2, MAX_PACE_REPORTS + 10):
         owner.hello(0.0, link, hello(f"in-{link}", 1))
         (start,) = owner.dispatch(link / 100, 0, link, dispatch(1))
         assert isinstance(start, StartCall)
         owner.finished(link / 100, start.ticket, Whole(200, [], b"", 100))
     told = [action.link for action in owner.sampled(1.0, Sample(500)) if isinstance(action, SendTo)]
-    assert told == list(range(MOST_TOLD + 9, 9, -1))
+    assert told == list(range(MAX_PACE_REPORTS + 9, 9, -1))
     assert owner.sampled(1.1, Sample(510)) == []
     assert owner.sampled(1.0 + PACE_KEPT_MS / 1000, Sample(100)) == []
 
