--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -37,8 +37,8 @@
 from foldhoist.delivery.load_reports import LoadReports, crashes_frame
 from foldhoist.delivery.owner_door import OwnerDoor
 from foldhoist.delivery.peers import Peers, drop_acked
+from foldhoist.delivery.shed_guard import ShedGuard
 from foldhoist.delivery.tickets import Tickets
-from foldhoist.delivery.turning_away import TurningAway
 from foldhoist.delivery.upstream_status import EVACUATED, REPLACED, UpstreamStatus
 from foldhoist.delivery.waiting import Waiting
 from foldhoist.quarantine.table import Quarantine
@@ -93,11 +93,11 @@
         self._claims = Claims(self.keys, self._endings, self.count)
         self._crowding = Crowding()
         self._waiting = Waiting(self.queue, self.tickets, self._endings)
-        self._turning_away = TurningAway(self.status, self._reports, self._waiting, self.tickets)
+        self._shed_guard = ShedGuard(self.status, self._reports, self._waiting, self.tickets)
         self._holding = Holding(
             self.quarantine, self.tickets, self._reports, self._waiting, self.count
         )
-        self._door = OwnerDoor(self.status, self.tickets, self._holding, self._turning_away)
+        self._door = OwnerDoor(self.status, self.tickets, self._holding, self._shed_guard)
 
     # What the tasks tell it
 
@@ -173,20 +173,20 @@
                 if result.status < SERVER_ERROR:
                     self._cold.answered()
                     told += self._reports.crashes(self.quarantine.answered(now, ticket.identity))
-                told += self._turning_away.answered(ticket.started)
+                told += self._shed_guard.answered(ticket.started)
                 self._learn_crowding(now, ticket, served)
                 started = self._apply(now, self.queue.release(now, served))
                 started += self._use_slots(now)
                 return [*self._endings.answered(now, ticket_id, result, served), *started, *told]
             case Shed():
                 self.status.state = "shedding"
-                noted = self._turning_away.turned_away(now)
+                noted = self._shed_guard.shed(now)
                 again_s = result.retry_after_s
-                return [*noted, *self._turned_away(now, ticket_id, "upstream-shed", again_s)]
+                return [*noted, *self._end_shed(now, ticket_id, "upstream-shed", again_s)]
             case Replaced():
                 told = self.set_leaving(REPLACED)
                 waiting = self._waiting.refuse(self.tickets.ids(), REPLACED)
-                return [*told, *waiting, *self._turned_away(now, ticket_id, REPLACED, 0.0)]
+                return [*told, *waiting, *self._end_shed(now, ticket_id, REPLACED, 0.0)]
             case Broken():
                 self.count.lost += 1
                 self.status.broke()
@@ -273,7 +273,7 @@
         actions = self._note_cold(now)
         actions += self._apply(now, self.queue.expire(now))
         actions += self._apply(now, self.queue.advance(now))
-        actions += self._turning_away.tick(now)
+        actions += self._shed_guard.tick(now)
         for peer in self._peers.orphaned(now):
             dropped = self._waiting.refuse(list(peer.live.values()), "ingress-gone")
             self.count.withdrawn += len(dropped)
@@ -382,7 +382,7 @@
         instance = self.status.instance
         return StartCall(ticket_id, ticket.request, ticket.deadline - now, instance)
 
-    def _turned_away(
+    def _end_shed(
         self, now: float, ticket_id: int, reason: str, retry_after_s: float
     ) -> list[Action]:
         self.count.turned_away += 1
--- a/foldhoist/delivery/owner_door.py
+++ b/foldhoist/delivery/owner_door.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from foldhoist.delivery.turning_away import SHEDS_ALL
+from foldhoist.delivery.shed_guard import SHEDS_ALL
 from foldhoist.quarantine.table import HELD
 
 if TYPE_CHECKING:
     from foldhoist.delivery.holding import Holding
+    from foldhoist.delivery.shed_guard import ShedGuard
     from foldhoist.delivery.tickets import Tickets
-    from foldhoist.delivery.turning_away import TurningAway
     from foldhoist.delivery.upstream_status import UpstreamStatus
     from foldhoist.schema.messages import Dispatch
 
@@ -26,12 +26,12 @@
     """What decides whether a call is taken in; times are monotonic seconds."""
 
     def __init__(
-        self, status: UpstreamStatus, tickets: Tickets, holding: Holding, turning_away: TurningAway
+        self, status: UpstreamStatus, tickets: Tickets, holding: Holding, shed_guard: ShedGuard
     ) -> None:
         self._status = status
         self._tickets = tickets
         self._holding = holding
-        self._turning_away = turning_away
+        self._shed_guard = shed_guard
 
     def closed(self, now: float, req: Dispatch, service: str) -> Closed | None:
         """Return why a call is not taken in, or None; `service` is the upstream's."""
@@ -45,6 +45,6 @@
             return Closed("bodies-full")
         if held_s := self._holding.held_s(now, req):
             return Closed(HELD, held_s)
-        if self._turning_away.refuses(now):
-            return Closed(SHEDS_ALL, self._turning_away.again_s(now))
+        if self._shed_guard.refuses(now):
+            return Closed(SHEDS_ALL, self._shed_guard.retry_after_s(now))
         return None
--- a/foldhoist/delivery/turning_away.py
+++ b/foldhoist/delivery/shed_guard.py
@@ -15,7 +15,7 @@
 """Reason of a refusal by an owner whose upstream turns every call away."""
 
 
-class TurningAway:
+class ShedGuard:
     """Keeps calls from an upstream that would turn them away; times are monotonic seconds.
 
     A refusal of the owner's is no arrival at the upstream, costs nothing of the retry budget and
@@ -35,11 +35,11 @@
         """Return whether a call that arrives now is refused."""
         return not self._status.shedding.takes(now)
 
-    def again_s(self, now: float) -> float:
+    def retry_after_s(self, now: float) -> float:
         """Return when a call may be taken, seconds."""
         return self._status.shedding.again_s(now)
 
-    def turned_away(self, now: float) -> list[Action]:
+    def shed(self, now: float) -> list[Action]:
         """Take in that the upstream has turned a call away."""
         if not self._status.shedding.turned_away(now):
             return []
--- a/tests/unit/delivery/test_turning_away.py
+++ b/tests/unit/delivery/test_shed_guard.py
@@ -16,7 +16,7 @@
 
 from foldhoist.admission.shedding import IN_A_ROW, Shedding
 from foldhoist.delivery.dispatch import SendTo, Shed, StartCall, Whole
-from foldhoist.delivery.turning_away import SHEDS_ALL
+from foldhoist.delivery.shed_guard import SHEDS_ALL
 from foldhoist.routing.picker import Choice, Member, NoChoice, Picker
 from foldhoist.routing.policies import Mixed
 from tests.unit.delivery.test_owner import announced, dispatch, hello, make
