--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -35,7 +35,7 @@
 from foldhoist.delivery.holding import Holding
 from foldhoist.delivery.keys import KeyTable
 from foldhoist.delivery.load_reports import LoadReports, crashes_frame
-from foldhoist.delivery.owner_door import OwnerDoor
+from foldhoist.delivery.owner_admission import OwnerAdmission
 from foldhoist.delivery.peers import Peers, drop_acked
 from foldhoist.delivery.shed_guard import ShedGuard
 from foldhoist.delivery.tickets import Tickets
@@ -97,12 +97,12 @@
         self._holding = Holding(
             self.quarantine, self.tickets, self._reports, self._waiting, self.count
         )
-        self._door = OwnerDoor(self.status, self.tickets, self._holding, self._shed_guard)
+        self._admission = OwnerAdmission(self.status, self.tickets, self._holding, self._shed_guard)
 
     # What the tasks tell it
 
     def hello(self, now: float, link: int, hello: Hello) -> list[Action]:
-        """Take in a new connection; an older one of the same ingress is closed and refused."""
+        """Take in a new connection; an older one of the same ingress is closed."""
         greeting = self._peers.greet(link, hello)
         if not greeting.taken:
             self.count.fenced += 1
@@ -126,9 +126,9 @@
             self.count.fenced += 1
             return []
         drop_acked(peer, req["acked"])
-        closed = self._door.closed(now, req, self.service)
-        if closed is not None:
-            return [self._endings.refused_at_door(peer, req, *closed)]
+        rejection = self._admission.rejection(now, req, self.service)
+        if rejection is not None:
+            return [self._endings.refused_at_door(peer, req, *rejection)]
         if req["key"]:
             early = self._claims.claim(now, wall_ms, peer, req, self.load())
             if early is not None:
--- a/foldhoist/delivery/owner_door.py
+++ b/foldhoist/delivery/owner_admission.py
@@ -15,14 +15,14 @@
     from foldhoist.schema.messages import Dispatch
 
 
-class Closed(NamedTuple):
+class Rejection(NamedTuple):
     """Why a call is not taken in, and when asking again makes sense, seconds."""
 
     reason: str
     retry_after_s: float = 1.0
 
 
-class OwnerDoor:
+class OwnerAdmission:
     """What decides whether a call is taken in; times are monotonic seconds."""
 
     def __init__(
@@ -33,18 +33,18 @@
         self._holding = holding
         self._shed_guard = shed_guard
 
-    def closed(self, now: float, req: Dispatch, service: str) -> Closed | None:
+    def rejection(self, now: float, req: Dispatch, service: str) -> Rejection | None:
         """Return why a call is not taken in, or None; `service` is the upstream's."""
         if self._status.leaving:
-            return Closed(self._status.refusal)
+            return Rejection(self._status.refusal)
         if req["service"] != service:
-            return Closed("not-my-service")
+            return Rejection("not-my-service")
         if self._status.state == "down":
-            return Closed("upstream-down")
+            return Rejection("upstream-down")
         if not self._tickets.has_room(req):
-            return Closed("bodies-full")
+            return Rejection("bodies-full")
         if held_s := self._holding.held_s(now, req):
-            return Closed(HELD, held_s)
+            return Rejection(HELD, held_s)
         if self._shed_guard.refuses(now):
-            return Closed(SHEDS_ALL, self._shed_guard.retry_after_s(now))
+            return Rejection(SHEDS_ALL, self._shed_guard.retry_after_s(now))
         return None
