--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -32,11 +32,11 @@
     Whole,
 )
 from foldhoist.delivery.endings import Endings
-from foldhoist.delivery.holding import Holding
 from foldhoist.delivery.keys import KeyTable
 from foldhoist.delivery.load_reports import LoadReports, crashes_frame
 from foldhoist.delivery.owner_admission import OwnerAdmission
 from foldhoist.delivery.peers import Peers, drop_acked
+from foldhoist.delivery.quarantined_calls import QuarantinedCalls
 from foldhoist.delivery.shed_guard import ShedGuard
 from foldhoist.delivery.tickets import Tickets
 from foldhoist.delivery.upstream_status import EVACUATED, REPLACED, UpstreamStatus
@@ -94,10 +94,12 @@
         self._crowding = Crowding()
         self._waiting = Waiting(self.queue, self.tickets, self._endings)
         self._shed_guard = ShedGuard(self.status, self._reports, self._waiting, self.tickets)
-        self._holding = Holding(
+        self._quarantined = QuarantinedCalls(
             self.quarantine, self.tickets, self._reports, self._waiting, self.count
         )
-        self._admission = OwnerAdmission(self.status, self.tickets, self._holding, self._shed_guard)
+        self._admission = OwnerAdmission(
+            self.status, self.tickets, self._quarantined, self._shed_guard
+        )
 
     # What the tasks tell it
 
@@ -203,14 +205,14 @@
         if self._cold.is_overloaded(now):
             self.count.overloaded += 1
             return []
-        return self._holding.upstream_ended(now, tickets)
+        return self._quarantined.upstream_ended(now, tickets)
 
     def learn_crashes(self, now: float, suspects: list[Suspect]) -> list[Action]:
         """Take in what another daemon knows of calls that end upstreams."""
-        return self._holding.learned(now, suspects)
+        return self._quarantined.learned(now, suspects)
 
     def sampled(self, now: float, sample: Sample) -> list[Action]:
-        """Take in what the upstream says of itself now; tells ingresses what is news."""
+        """Take in what the upstream says of itself now; tells ingresses what is changes."""
         if sample.cold_s is not None:
             self._cold.seen(now, sample.cold_s)
         told = self._note_cold(now)
--- a/foldhoist/delivery/owner_admission.py
+++ b/foldhoist/delivery/owner_admission.py
@@ -8,7 +8,7 @@
 from foldhoist.quarantine.table import HELD
 
 if TYPE_CHECKING:
-    from foldhoist.delivery.holding import Holding
+    from foldhoist.delivery.quarantined_calls import QuarantinedCalls
     from foldhoist.delivery.shed_guard import ShedGuard
     from foldhoist.delivery.tickets import Tickets
     from foldhoist.delivery.upstream_status import UpstreamStatus
@@ -26,11 +26,15 @@
     """What decides whether a call is taken in; times are monotonic seconds."""
 
     def __init__(
-        self, status: UpstreamStatus, tickets: Tickets, holding: Holding, shed_guard: ShedGuard
+        self,
+        status: UpstreamStatus,
+        tickets: Tickets,
+        quarantined: QuarantinedCalls,
+        shed_guard: ShedGuard,
     ) -> None:
         self._status = status
         self._tickets = tickets
-        self._holding = holding
+        self._quarantined = quarantined
         self._shed_guard = shed_guard
 
     def rejection(self, now: float, req: Dispatch, service: str) -> Rejection | None:
@@ -43,8 +47,8 @@
             return Rejection("upstream-down")
         if not self._tickets.has_room(req):
             return Rejection("bodies-full")
-        if held_s := self._holding.held_s(now, req):
-            return Rejection(HELD, held_s)
+        if remaining_s := self._quarantined.remaining_s(now, req):
+            return Rejection(HELD, remaining_s)
         if self._shed_guard.refuses(now):
             return Rejection(SHEDS_ALL, self._shed_guard.retry_after_s(now))
         return None
--- a/foldhoist/delivery/holding.py
+++ b/foldhoist/delivery/quarantined_calls.py
@@ -16,7 +16,7 @@
     from foldhoist.schema.messages import Dispatch, Suspect
 
 
-class Holding:
+class QuarantinedCalls:
     """Notes ends of the upstream, and refuses or stops what would end it again."""
 
     def __init__(
@@ -40,21 +40,21 @@
         like it, has then counted this crash.
         """
         found = [ticket for each in ticket_ids if (ticket := self._tickets.get(each)) is not None]
-        news = self._quarantine.crashed(now, {ticket.identity for ticket in found})
-        held = [row["call"] for row in news if self._quarantine.held_s(now, row["call"])]
-        return [*self._reports.crashes(news), *self._hold(held)]
+        changed = self._quarantine.crashed(now, {ticket.identity for ticket in found})
+        held = [row["call"] for row in changed if self._quarantine.held_s(now, row["call"])]
+        return [*self._reports.crashes(changed), *self._quarantine_calls(held)]
 
     def learned(self, now: float, suspects: list[Suspect]) -> list[Action]:
         """Take in what another daemon knows of calls that end upstreams."""
-        return self._hold(self._quarantine.learned(now, suspects))
+        return self._quarantine_calls(self._quarantine.learned(now, suspects))
 
-    def held_s(self, now: float, req: Dispatch) -> float:
+    def remaining_s(self, now: float, req: Dispatch) -> float:
         """Return for how long a call like this is refused, seconds; 0 if it may run."""
         if not self._quarantine.holding:
             return 0.0
         return self._quarantine.held_s(now, dispatch_identity(req))
 
-    def _hold(self, calls: list[str]) -> list[Action]:
+    def _quarantine_calls(self, calls: list[str]) -> list[Action]:
         """Refuse waiting calls that would end the upstream, and stop those at work.
 
         One at work that may not be repeated keeps its chance of an answer.
