--- a/foldhoist/delivery/endings.py
+++ b/foldhoist/delivery/endings.py
@@ -8,7 +8,7 @@
 from foldhoist.delivery.dispatch import Frame, SendTo
 from foldhoist.delivery.joined import Joined
 from foldhoist.delivery.peers import fate_without_result
-from foldhoist.delivery.refusal_notes import RefusalNotes
+from foldhoist.delivery.refusal_log import RefusalLog
 from foldhoist.delivery.verdict import Response
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
         self, tickets: Tickets, keys: KeyTable, peers: Peers, reports: LoadReports, count: Counters
     ) -> None:
         self.joined = Joined()
-        self.refusals = RefusalNotes()
+        self.refusals = RefusalLog()
         self._tickets = tickets
         self._keys = keys
         self._peers = peers
@@ -62,7 +62,7 @@
         self._count.refused += 1
         load = self._reports.load()
         if ran == "no":
-            self.refusals.note(ticket.request, reason, retry_after_s, load)
+            self.refusals.add(ticket.request, reason, retry_after_s, load)
         actions: list[Action] = []
         for peer, seq in self._waiters(ticket):
             frame = replies.refusal_frame(seq, ran, reason, retry_after_s, load, reached)
@@ -76,7 +76,7 @@
     ) -> Action:
         """Send back a call that was not taken in."""
         load = self._reports.load()
-        self.refusals.note(req, reason, retry_after_s, load)
+        self.refusals.add(req, reason, retry_after_s, load)
         self._count.refused += 1
         return self.send(
             peer, req["seq"], replies.refusal_frame(req["seq"], "no", reason, retry_after_s, load)
--- a/foldhoist/delivery/refusal_notes.py
+++ b/foldhoist/delivery/refusal_log.py
@@ -10,22 +10,22 @@
     from foldhoist.delivery.dispatch import Refused
     from foldhoist.schema.messages import Dispatch, Load
 
-MOST = 100
+MAX_PENDING = 100
 """Refusals noted at once; the task that runs the owner takes them at each of its steps."""
 
 
-class RefusalNotes:
+class RefusalLog:
     """What to log of refusals, bounded."""
 
     def __init__(self) -> None:
-        self._notes: list[Refused] = []
+        self._pending: list[Refused] = []
 
-    def note(self, req: Dispatch, reason: str, retry_after_s: float, load: Load) -> None:
+    def add(self, req: Dispatch, reason: str, retry_after_s: float, load: Load) -> None:
         """Note a refusal, unless there are too many already."""
-        if len(self._notes) < MOST:
-            self._notes.append(replies.refused_record(req, reason, retry_after_s, load))
+        if len(self._pending) < MAX_PENDING:
+            self._pending.append(replies.refused_record(req, reason, retry_after_s, load))
 
     def take(self) -> list[Refused]:
         """Return what was noted since the last time."""
-        notes, self._notes = self._notes, []
-        return notes
+        pending, self._pending = self._pending, []
+        return pending
