--- a/foldhoist/daemon/control.py
+++ b/foldhoist/daemon/control.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from foldhoist.admission.bucket import TokenBucket
-from foldhoist.delivery.codec import decode_whole, encode
+from foldhoist.delivery.codec import decode_frame, encode
 from foldhoist.exceptions import ProtocolError
 
 if TYPE_CHECKING:
@@ -133,7 +133,7 @@
             self.count.received += 1
             self.count.received_bytes += len(data) + FRAMING
             try:
-                kind, body = decode_whole(_unpack(data))
+                kind, body = decode_frame(_unpack(data))
             except ProtocolError:
                 self.count.bad += 1
                 continue
--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -27,7 +27,7 @@
 from foldhoist.daemon.owner_task import OwnerTask
 from foldhoist.daemon.prober import Prober
 from foldhoist.daemon.quota_task import QuotaTask
-from foldhoist.delivery.codec import HEADROOM, SCHEMA_VERSION
+from foldhoist.delivery.codec import FRAME_OVERHEAD_BYTES, SCHEMA_VERSION
 from foldhoist.delivery.ingress import Ingress
 from foldhoist.delivery.keys import KEY_WINDOW_S
 from foldhoist.delivery.owner import Owner
@@ -90,7 +90,7 @@
     async def start(self) -> None:
         """Open every socket and start every task."""
         cfg = self.cfg
-        limit = cfg["limits"]["body_bytes"] + HEADROOM
+        limit = cfg["limits"]["body_bytes"] + FRAME_OVERHEAD_BYTES
         platform = cfg["platform"]
         self.client = PlatformClient(platform["log"], platform["stream"], platform["hosts"])
         self._bodies = HeldBytes(cfg["limits"]["held_bytes"])
--- a/foldhoist/daemon/frames.py
+++ b/foldhoist/daemon/frames.py
@@ -6,8 +6,8 @@
 import socket
 from typing import TYPE_CHECKING, Any
 
-from foldhoist.delivery.codec import Packer, Splitter
-from foldhoist.delivery.pieces import PIECE_BYTES, Cutter, Joiner
+from foldhoist.delivery.codec import StreamDecoder, StreamEncoder
+from foldhoist.delivery.pieces import PIECE_BYTES, Fragmenter, Reassembler
 from foldhoist.exceptions import ProtocolError
 
 if TYPE_CHECKING:
@@ -33,10 +33,10 @@
         self.number = 0
         self.sent_bytes = 0
         self.faults = 0
-        self._splitter = Splitter(limit)
-        self._packer = Packer()
-        self._cutter = Cutter()
-        self._joiner = Joiner(limit)
+        self._decoder = StreamDecoder(limit)
+        self._encoder = StreamEncoder()
+        self._fragmenter = Fragmenter()
+        self._reassembler = Reassembler(limit)
         self._pieces: asyncio.TimerHandle | None = None
         self._on_message = on_message
         self._on_lost = on_lost
@@ -52,7 +52,7 @@
     def data_received(self, data: bytes) -> None:
         """Hand on every whole message; a peer that breaks the schema is cut off."""
         try:
-            messages = self._splitter.feed(data)
+            messages = self._decoder.feed(data)
             whole = self._joined(messages)
         except ProtocolError:
             self.faults += 1
@@ -76,10 +76,10 @@
         """Write a message; without a connection it is dropped."""
         if self._transport is None:
             return
-        self._write(kind, self._cutter.cut(body))
-        if self._cutter.pending > MOST_UNSENT:
+        self._write(kind, self._fragmenter.first(body))
+        if self._fragmenter.pending > MOST_UNSENT:
             self.close()
-        elif self._cutter.pending and self._pieces is None:
+        elif self._fragmenter.pending and self._pieces is None:
             self._send_pieces()
 
     def close(self) -> None:
@@ -90,19 +90,19 @@
     def _write(self, kind: str, body: Mapping[str, Any]) -> None:
         if self._transport is None:
             return
-        data = self._packer.pack(kind, body)
+        data = self._encoder.encode(kind, body)
         self.sent_bytes += len(data)
         self._transport.write(data)
 
     def _send_pieces(self) -> None:
         """Send pieces while the connection takes them; what else is sent goes in between."""
         self._pieces = None
-        while self._transport is not None and self._cutter.pending:
+        while self._transport is not None and self._fragmenter.pending:
             if self._transport.get_write_buffer_size() > PIECE_BYTES:
                 loop = asyncio.get_running_loop()
                 self._pieces = loop.call_later(PIECES_S, self._send_pieces)
                 return
-            piece = self._cutter.piece()
+            piece = self._fragmenter.next_piece()
             if piece is not None:
                 self._write("Piece", piece)
 
@@ -111,9 +111,9 @@
         for kind, body in messages:
             match kind:
                 case "Answer":
-                    answer = self._joiner.answer(body)
+                    answer = self._reassembler.on_answer(body)
                 case "Piece":
-                    kind, answer = "Answer", self._joiner.piece(body)
+                    kind, answer = "Answer", self._reassembler.on_piece(body)
                 case _:
                     answer = body
             if answer is not None:
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -29,7 +29,7 @@
 from foldhoist.daemon.stopping import Stopping
 from foldhoist.daemon.upstream_task import UpstreamTask
 from foldhoist.daemon.versions_task import VersionsTask
-from foldhoist.delivery.codec import HEADROOM, SCHEMA_VERSION
+from foldhoist.delivery.codec import FRAME_OVERHEAD_BYTES, SCHEMA_VERSION
 from foldhoist.delivery.ingress import Ingress
 from foldhoist.delivery.keys import KEY_WINDOW_S
 from foldhoist.delivery.owner import Owner
@@ -240,7 +240,9 @@
             self.ingress_task.link_refused,
             self.messages.outbound,
         )
-        self.links = Links(self._hello, cfg["limits"]["body_bytes"] + HEADROOM, events, self.rng)
+        self.links = Links(
+            self._hello, cfg["limits"]["body_bytes"] + FRAME_OVERHEAD_BYTES, events, self.rng
+        )
         self.ingress_task.on_ended = self._ended
         self.owner_task.on_refused = self._refused
         self.owner_task.on_spread = self.messages.spread
--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -12,7 +12,7 @@
 from foldhoist.daemon.lost_calls import LostCalls
 from foldhoist.daemon.sampler import Sampler
 from foldhoist.daemon.upstream import CONNECTION_LOST, UpstreamPool
-from foldhoist.delivery.codec import HEADROOM, SCHEMA_VERSION
+from foldhoist.delivery.codec import FRAME_OVERHEAD_BYTES, SCHEMA_VERSION
 from foldhoist.delivery.dispatch import (
     Broken,
     CancelCall,
@@ -79,7 +79,7 @@
         self._on_local = on_local
         self._on_hop = on_hop
         self._loop = asyncio.get_running_loop()
-        self._limit = cfg["limits"]["body_bytes"] + HEADROOM
+        self._limit = cfg["limits"]["body_bytes"] + FRAME_OVERHEAD_BYTES
         self._conns: dict[int, FrameConnection] = {}
         self._next_link = LOCAL_LINK + 1
         self._greeted: set[int] = set()
--- a/foldhoist/delivery/codec.py
+++ b/foldhoist/delivery/codec.py
@@ -20,11 +20,11 @@
 
 SCHEMA_VERSION = 4
 """Version of the message schema; peers of another version are refused."""
-HEAD = Struct(">IB")
+HEADER = Struct(">IB")
 """Length of the fields in bytes, then the kind."""
-PACKED = 0x80
+DEFLATED = 0x80
 """Bit of a kind: the fields are deflated, and the body of the call follows them."""
-PACKED_HEAD = Struct(">I")
+DEFLATED_HEADER = Struct(">I")
 """Length of the deflated fields, bytes."""
 WINDOW_BITS = -10
 """Size of the window of a deflater, 1 KiB, without a header: the last few messages.
@@ -34,7 +34,7 @@
 """
 MEMORY_LEVEL = 2
 """Memory of a deflater: 2 KiB beside four times its window."""
-HEADROOM = 256 * 1024
+FRAME_OVERHEAD_BYTES = 256 * 1024
 """Bytes that a frame may have beside a call's body."""
 
 _KINDS: dict[str, tuple[int, type]] = {
@@ -72,7 +72,7 @@
 def encode(kind: str, body: object) -> bytes:
     """Return the frame of a message."""
     fields = _ENCODER.encode(body)
-    return HEAD.pack(len(fields), _NUMBERS[kind]) + fields
+    return HEADER.pack(len(fields), _NUMBERS[kind]) + fields
 
 
 def decode(number: int, fields: bytes | memoryview) -> tuple[str, Any]:
@@ -87,82 +87,82 @@
         raise ProtocolError(f"{name}: {exc}") from exc
 
 
-def decode_whole(frame: bytes) -> tuple[str, Any]:
+def decode_frame(frame: bytes) -> tuple[str, Any]:
     """Return kind and fields of a message that came as one piece."""
-    if len(frame) < HEAD.size:
+    if len(frame) < HEADER.size:
         raise ProtocolError("message shorter than its head")
-    length, number = HEAD.unpack_from(frame)
-    if length != len(frame) - HEAD.size:
+    length, number = HEADER.unpack_from(frame)
+    if length != len(frame) - HEADER.size:
         raise ProtocolError("message length does not match its head")
-    return decode(number, frame[HEAD.size :])
+    return decode(number, frame[HEADER.size :])
 
 
-class Packer:
+class StreamEncoder:
     """Writes the messages of one connection, in order."""
 
     def __init__(self) -> None:
         self._deflate = zlib.compressobj(1, zlib.DEFLATED, WINDOW_BITS, MEMORY_LEVEL)
 
-    def pack(self, kind: str, body: Mapping[str, Any]) -> bytes:
+    def encode(self, kind: str, body: Mapping[str, Any]) -> bytes:
         """Return the bytes of the next message."""
         raw: bytes = body.get("body", b"")
         fields = _ENCODER.encode({**body, "body": b""} if raw else body)
-        packed = self._deflate.compress(fields) + self._deflate.flush(zlib.Z_SYNC_FLUSH)
-        length = PACKED_HEAD.size + len(packed) + len(raw)
-        head = HEAD.pack(length, _NUMBERS[kind] | PACKED)
-        return b"".join((head, PACKED_HEAD.pack(len(packed)), packed, raw))
+        deflated = self._deflate.compress(fields) + self._deflate.flush(zlib.Z_SYNC_FLUSH)
+        length = DEFLATED_HEADER.size + len(deflated) + len(raw)
+        head = HEADER.pack(length, _NUMBERS[kind] | DEFLATED)
+        return b"".join((head, DEFLATED_HEADER.pack(len(deflated)), deflated, raw))
 
 
-class Splitter:
+class StreamDecoder:
     """Cuts a stream of bytes into messages; `limit` is the longest allowed, bytes."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self._parts: list[bytes] = []
-        self._have = 0
-        self._need = HEAD.size
+        self._buffered = 0
+        self._needed = HEADER.size
         self._inflate = zlib.decompressobj(WINDOW_BITS)
 
     def feed(self, data: bytes) -> list[tuple[str, Any]]:
         """Return the messages that are whole now; a long one is joined only when it is whole."""
         if self._parts:
             self._parts.append(data)
-            self._have += len(data)
-            if self._have < self._need:
+            self._buffered += len(data)
+            if self._buffered < self._needed:
                 return []
             data = b"".join(self._parts)
         found: list[tuple[str, Any]] = []
         at = 0
         size = len(data)
-        self._need = HEAD.size
-        while size - at >= HEAD.size:
-            length, number = HEAD.unpack_from(data, at)
+        self._needed = HEADER.size
+        while size - at >= HEADER.size:
+            length, number = HEADER.unpack_from(data, at)
             if length > self.limit:
                 raise ProtocolError(f"message of {length} bytes, longest allowed is {self.limit}")
-            end = at + HEAD.size + length
+            end = at + HEADER.size + length
             if end > size:
-                self._need = HEAD.size + length
+                self._needed = HEADER.size + length
                 break
-            found.append(self._decode(number, data[at + HEAD.size : end]))
+            found.append(self._decode(number, data[at + HEADER.size : end]))
             at = end
         self._parts = [data[at:]] if at < size else []
-        self._have = size - at
+        self._buffered = size - at
         return found
 
     def _decode(self, number: int, fields: bytes) -> tuple[str, Any]:
-        if not number & PACKED:
+        if not number & DEFLATED:
             return decode(number, fields)
-        if len(fields) < PACKED_HEAD.size:
+        if len(fields) < DEFLATED_HEADER.size:
             raise ProtocolError("message shorter than its head")
-        (length,) = PACKED_HEAD.unpack_from(fields)
-        split = PACKED_HEAD.size + length
+        (length,) = DEFLATED_HEADER.unpack_from(fields)
+        split = DEFLATED_HEADER.size + length
         if split > len(fields):
             raise ProtocolError("deflated fields are longer than their message")
         try:
-            plain = self._inflate.decompress(fields[PACKED_HEAD.size : split], self.limit)
+            plain = self._inflate.decompress(fields[DEFLATED_HEADER.size : split], self.limit)
         except zlib.error as exc:
             raise ProtocolError(f"deflated fields: {exc}") from exc
-        kind, body = decode(number & ~PACKED, plain)
+        kind, body = decode(number & ~DEFLATED, plain)
         if split < len(fields):
             body["body"] = fields[split:]
         return kind, body
--- a/tests/unit/daemon/test_frames.py
+++ b/tests/unit/daemon/test_frames.py
@@ -11,7 +11,7 @@
 from foldhoist.admission.slots import Shape
 from foldhoist.daemon.frames import FrameConnection
 from foldhoist.daemon.owner_task import OwnerTask
-from foldhoist.delivery.codec import SCHEMA_VERSION, Splitter, encode
+from foldhoist.delivery.codec import SCHEMA_VERSION, StreamDecoder, encode
 from foldhoist.delivery.owner import Owner
 
 HELLO = {"name": "in", "incarnation": "i", "epoch": 1, "schema": SCHEMA_VERSION}
@@ -40,7 +40,7 @@
 
     def send(self, kind: str, body: object) -> list[tuple[str, Any]]:
         self.conn.data_received(encode(kind, body))
-        return Splitter(1 << 20).feed(self.transport.take())
+        return StreamDecoder(1 << 20).feed(self.transport.take())
 
 
 def on_loop(run: Any) -> None:
--- a/tests/unit/delivery/test_codec.py
+++ b/tests/unit/delivery/test_codec.py
@@ -7,13 +7,13 @@
 from hypothesis import strategies as st
 
 from foldhoist.delivery.codec import (
-    HEAD,
+    DEFLATED,
+    HEADER,
     MEMORY_LEVEL,
-    PACKED,
     WINDOW_BITS,
-    Packer,
-    Splitter,
-    decode_whole,
+    StreamDecoder,
+    StreamEncoder,
+    decode_frame,
     encode,
 )
 from foldhoist.exceptions import ProtocolError
@@ -23,18 +23,18 @@
 
 
 def test_a_message_comes_back() -> None:
-    assert decode_whole(encode("Hello", HELLO)) == ("Hello", HELLO)
+    assert decode_frame(encode("Hello", HELLO)) == ("Hello", HELLO)
 
 
 @given(st.lists(st.integers(1, 40), max_size=30))
 def test_messages_in_any_pieces_come_whole_and_in_order(cuts: list[int]) -> None:
     sent = [{"seq": number} for number in range(6)]
     data = b"".join(encode("Withdraw", body) for body in sent)
-    splitter = Splitter(1000)
+    decoder = StreamDecoder(1000)
     got = []
     at = 0
     for cut in [*cuts, len(data)]:
-        got += splitter.feed(data[at : at + cut])
+        got += decoder.feed(data[at : at + cut])
         at += cut
     assert [body for _, body in got] == sent
 
@@ -42,21 +42,21 @@
 @given(st.lists(st.integers(1, 40), max_size=30))
 def test_packed_messages_come_whole_and_in_order_with_their_bodies(cuts: list[int]) -> None:
     sent = [dispatch_of("PUT", [[b"Host", b"x"]], body=b"b" * number) for number in range(6)]
-    packer = Packer()
-    data = b"".join(packer.pack("Dispatch", body) for body in sent)
-    splitter = Splitter(1000)
+    encoder = StreamEncoder()
+    data = b"".join(encoder.encode("Dispatch", body) for body in sent)
+    decoder = StreamDecoder(1000)
     got = []
     at = 0
     for cut in [*cuts, len(data)]:
-        got += splitter.feed(data[at : at + cut])
+        got += decoder.feed(data[at : at + cut])
         at += cut
     assert [body for _, body in got] == sent
 
 
 def test_what_is_the_same_in_every_message_is_written_once() -> None:
-    packer = Packer()
+    encoder = StreamEncoder()
     req = dispatch_of("GET", [[b"User-Agent", b"sdk-client/1.9.3"], [b"Accept", b"*/*"]])
-    first, later = (len(packer.pack("Dispatch", {**req, "seq": seq})) for seq in (1, 2))
+    first, later = (len(encoder.encode("Dispatch", {**req, "seq": seq})) for seq in (1, 2))
     assert later < first / 5
 
 
@@ -70,15 +70,15 @@
 @pytest.mark.parametrize("fields", [b"", b"\0\0\0\x09ab", b"\0\0\0\2\xff\xff", b"\0\0\0\0"])
 def test_packed_fields_that_are_none_are_a_protocol_error(fields: bytes) -> None:
     with pytest.raises(ProtocolError):
-        Splitter(1000).feed(HEAD.pack(len(fields), 2 | PACKED) + fields)
+        StreamDecoder(1000).feed(HEADER.pack(len(fields), 2 | DEFLATED) + fields)
 
 
 @pytest.mark.parametrize(
     "frame",
     [
         b"",
-        HEAD.pack(0, 99),
-        HEAD.pack(1, 1) + b"\xff",
+        HEADER.pack(0, 99),
+        HEADER.pack(1, 1) + b"\xff",
         encode("Hello", HELLO)[:-1],
         encode("Hello", {**HELLO, "epoch": "one"}),
         encode("Hello", {"name": "a"}),
@@ -86,20 +86,20 @@
 )
 def test_what_is_no_message_is_a_protocol_error(frame: bytes) -> None:
     with pytest.raises(ProtocolError):
-        decode_whole(frame)
+        decode_frame(frame)
 
 
 def test_a_message_above_the_limit_is_refused_before_it_is_kept() -> None:
     with pytest.raises(ProtocolError):
-        Splitter(10).feed(HEAD.pack(11, 1))
+        StreamDecoder(10).feed(HEADER.pack(11, 1))
 
 
 @settings(max_examples=500, derandomize=True)
 @given(st.binary(max_size=300))
 def test_no_bytes_do_more_than_a_protocol_error(data: bytes) -> None:
-    splitter = Splitter(200)
+    decoder = StreamDecoder(200)
     try:
-        for kind, body in splitter.feed(data):
+        for kind, body in decoder.feed(data):
             assert isinstance(kind, str)
             assert isinstance(body, dict)
     except ProtocolError:
--- a/tests/unit/delivery/test_pieces.py
+++ b/tests/unit/delivery/test_pieces.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from foldhoist.delivery.pieces import PIECE_BYTES, Cutter, Joiner
+from foldhoist.delivery.pieces import PIECE_BYTES, Fragmenter, Reassembler
 from foldhoist.exceptions import ProtocolError
 
 LIMIT = 10_000_000
@@ -20,18 +20,19 @@
     return {**plain, "bulk": True} if bulk else plain
 
 
-def sent(cutter: Cutter, *answers: dict[str, Any]) -> list[Any]:
+def sent(fragmenter: Fragmenter, *answers: dict[str, Any]) -> list[Any]:
     """Return what goes over the connection, in order."""
-    first = [("Answer", dict(cutter.cut(each))) for each in answers]
+    first = [("Answer", dict(fragmenter.first(each))) for each in answers]
     rest: list[Any] = []
-    while (piece := cutter.piece()) is not None:
+    while (piece := fragmenter.next_piece()) is not None:
         rest.append(("Piece", piece))
     return [*first, *rest]
 
 
-def received(messages: list[Any], joiner: Joiner) -> list[dict[str, Any]]:
+def received(messages: list[Any], reassembler: Reassembler) -> list[dict[str, Any]]:
     found = [
-        joiner.answer(body) if kind == "Answer" else joiner.piece(body) for kind, body in messages
+        reassembler.on_answer(body) if kind == "Answer" else reassembler.on_piece(body)
+        for kind, body in messages
     ]
     return [each for each in found if each is not None]
 
@@ -40,47 +41,51 @@
 def test_every_answer_comes_whole_and_its_own(sizes: list[int]) -> None:
     rng = random.Random(1)
     answers = [answer(seq, rng.randbytes(size)) for seq, size in enumerate(sizes)]
-    cutter = Cutter()
-    found = received(sent(cutter, *answers), Joiner(LIMIT))
+    fragmenter = Fragmenter()
+    found = received(sent(fragmenter, *answers), Reassembler(LIMIT))
     assert sorted(found, key=lambda each: each["seq"]) == answers
-    assert cutter.pending == 0
+    assert fragmenter.pending == 0
 
 
 @given(st.integers(0, 30))
 def test_what_the_end_of_a_connection_cuts_off_is_not_handed_on(kept: int) -> None:
-    messages = sent(Cutter(), answer(1, bytes(5 * PIECE_BYTES)), answer(2, bytes(3 * PIECE_BYTES)))
-    for found in received(messages[:kept], Joiner(LIMIT)):
+    messages = sent(
+        Fragmenter(), answer(1, bytes(5 * PIECE_BYTES)), answer(2, bytes(3 * PIECE_BYTES))
+    )
+    for found in received(messages[:kept], Reassembler(LIMIT)):
         assert len(found["body"]) == {1: 5, 2: 3}[found["seq"]] * PIECE_BYTES
 
 
 def test_pieces_of_several_answers_go_by_turns() -> None:
-    messages = sent(Cutter(), answer(1, bytes(20 * PIECE_BYTES)), answer(2, bytes(3 * PIECE_BYTES)))
+    messages = sent(
+        Fragmenter(), answer(1, bytes(20 * PIECE_BYTES)), answer(2, bytes(3 * PIECE_BYTES))
+    )
     at = next(at for at, (kind, body) in enumerate(messages) if kind == "Piece" and body["last"])
     assert at <= 2 + 2 * 2 + 1
     assert messages[at][1]["number"] == 2
 
 
 def test_only_large_answers_of_bulk_routes_are_cut() -> None:
-    cutter = Cutter()
+    fragmenter = Fragmenter()
     for body in (answer(1, bytes(PIECE_BYTES)), answer(2, bytes(9 * PIECE_BYTES), bulk=False)):
-        assert cutter.cut(body) is body
-    assert cutter.piece() is None
+        assert fragmenter.first(body) is body
+    assert fragmenter.next_piece() is None
 
 
 def test_what_fits_no_answer_breaks_the_connection() -> None:
     piece: Any = {"number": 1, "last": False, "body": b"x"}
     with pytest.raises(ProtocolError):
-        Joiner(LIMIT).piece(piece)
-    joiner = Joiner(PIECE_BYTES + 1)
-    first, *rest = sent(Cutter(), answer(1, bytes(4 * PIECE_BYTES)))
-    assert joiner.answer(first[1]) is None
+        Reassembler(LIMIT).on_piece(piece)
+    reassembler = Reassembler(PIECE_BYTES + 1)
+    first, *rest = sent(Fragmenter(), answer(1, bytes(4 * PIECE_BYTES)))
+    assert reassembler.on_answer(first[1]) is None
     with pytest.raises(ProtocolError):
-        received(rest, joiner)
-    twice = Joiner(LIMIT)
+        received(rest, reassembler)
+    twice = Reassembler(LIMIT)
     for each in (0, 1):
         body = {**answer(each, b"x"), "rest": 7}
         if each:
             with pytest.raises(ProtocolError):
-                twice.answer(body)
+                twice.on_answer(body)
         else:
-            assert twice.answer(body) is None
+            assert twice.on_answer(body) is None
