--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -259,7 +259,7 @@
         )
         self.owner_task.pool.most = target["connections"]
         rate = ColdRate(service["cold_per_s"], service["cold_ms"] / 1000)
-        self.owner_task.bound_cold(rate)
+        self.owner_task.set_cold_rate(rate)
         self.owner_task.set_evacuated(target["data_centre"] in evacuated(fleet))
         if target["state"] == "serving":
             self.owner_task.clear_leaving("configuration")
--- a/foldhoist/daemon/ingress_task.py
+++ b/foldhoist/daemon/ingress_task.py
@@ -57,7 +57,7 @@
         self._callers[call_id] = conn
         conn.begin(call_id)
         tickets = self._owner_task.owner.tickets
-        req = req._replace(parent_rank=tickets.usual_rank, parent_repeat=tickets.repeat_share)
+        req = req._replace(parent_rank=tickets.most_common_rank, parent_repeat=tickets.repeat_share)
         self._carry_out(self.ingress.arrive(self._loop.time(), call_id, req))
 
     def gone(self, call_id: int) -> None:
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -318,7 +318,7 @@
             rate = ColdRate(own["cold_per_s"], own["cold_ms"] / 1000)
             upstream = self.cfg["upstream"]
             tolerance = Tolerance(upstream["cold_overage"], upstream["cold_slack"])
-            self.owner_task.bound_cold(rate.with_tolerance(tolerance))
+            self.owner_task.set_cold_rate(rate.with_tolerance(tolerance))
 
     def _set_evacuated(self, names: frozenset[str]) -> None:
         centres = {peer.data_centre for peer in self.registry.peers.values()} | {self.data_centre}
--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -151,13 +151,13 @@
         """Take in what another daemon knows of calls that end upstreams."""
         self._carry_out(self.owner.learn_crashes(self._loop.time(), suspects))
 
-    def heard_again(self, cold_s: float) -> None:
+    def announced_again(self, cold_s: float) -> None:
         """Take in that the upstream is at its address; it says that it is cold for `cold_s` yet."""
-        self._carry_out(self.owner.heard_again(self._loop.time(), cold_s))
+        self._carry_out(self.owner.announced_again(self._loop.time(), cold_s))
 
-    def bound_cold(self, rate: ColdRate) -> None:
+    def set_cold_rate(self, rate: ColdRate) -> None:
         """Take over what the upstream bears while it is cold."""
-        self._carry_out(self.owner.bound_cold(self._loop.time(), rate, self.began))
+        self._carry_out(self.owner.set_cold_rate(self._loop.time(), rate, self.began))
 
     def set_evacuated(self, evacuated: bool) -> None:
         """Take no new work while this data centre is evacuated.
@@ -289,7 +289,7 @@
         """Take in what became of calls whose connection ended, and perhaps the upstream."""
         if ended:
             tickets = [call.ticket for call in lost]
-            known = ", ".join(self.owner.tickets.told(tickets))
+            known = ", ".join(self.owner.tickets.log_labels(tickets))
             logger.warning("upstream ended with {} calls at work: {}", len(lost), known)
             self._carry_out(self.owner.upstream_ended(self._loop.time(), tickets))
             self._look_for_upstream()
--- a/foldhoist/daemon/upstream_task.py
+++ b/foldhoist/daemon/upstream_task.py
@@ -132,7 +132,7 @@
             )
             self._changed(before)
         elif self.known.current is announced:
-            self._owner_task.heard_again(announced["cold_ms"] / 1000)
+            self._owner_task.announced_again(announced["cold_ms"] / 1000)
         if heard is Heard.LEAVING:
             await self._bind(life_of(announced))
         elif announced["state"] != "ready":
--- a/foldhoist/delivery/endings.py
+++ b/foldhoist/delivery/endings.py
@@ -6,7 +6,7 @@
 
 from foldhoist.delivery import replies
 from foldhoist.delivery.dispatch import Frame, SendTo
-from foldhoist.delivery.joined import Joined
+from foldhoist.delivery.joined import JoinedCalls
 from foldhoist.delivery.peers import fate_without_result
 from foldhoist.delivery.refusal_log import RefusalLog
 from foldhoist.delivery.verdict import Response
@@ -29,7 +29,7 @@
     def __init__(
         self, tickets: Tickets, keys: KeyTable, peers: Peers, reports: LoadReports, count: Counters
     ) -> None:
-        self.joined = Joined()
+        self.joined = JoinedCalls()
         self.refusals = RefusalLog()
         self._tickets = tickets
         self._keys = keys
--- a/foldhoist/delivery/joined.py
+++ b/foldhoist/delivery/joined.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Joined:
+class JoinedCalls:
     """Waiting calls by key; each is named by its ingress's incarnation and its own number there."""
 
     def __init__(self) -> None:
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -220,12 +220,12 @@
             told += self._learn_pace(now, sample.pace)
         return [*told, *self._apply(now, self.queue.advance(now))]
 
-    def bound_cold(self, now: float, rate: ColdRate, began: float | None = None) -> list[Action]:
+    def set_cold_rate(self, now: float, rate: ColdRate, began: float | None = None) -> list[Action]:
         """Take over what the upstream bears while it is cold; the daemon's process `began` then."""
         self._cold.bound(now, rate, began)
         return self._note_cold(now)
 
-    def heard_again(self, now: float, cold_s: float) -> list[Action]:
+    def announced_again(self, now: float, cold_s: float) -> list[Action]:
         """Take in that the upstream announced itself with nothing new but how long it is cold."""
         self._cold.told(now, cold_s)
         return [*self._note_cold(now), *self.clear_leaving(REPLACED)]
--- a/foldhoist/delivery/tickets.py
+++ b/foldhoist/delivery/tickets.py
@@ -62,7 +62,7 @@
         return ticket
 
     @property
-    def usual_rank(self) -> int:
+    def most_common_rank(self) -> int:
         """Return the rank of most calls at the upstream, NO_RANK if there are none."""
         return max(self._running, key=self._running.__getitem__, default=NO_RANK)
 
@@ -81,7 +81,7 @@
                 del self._running[ticket.rank]
         return ticket
 
-    def told(self, ticket_ids: list[int]) -> list[str]:
+    def log_labels(self, ticket_ids: list[int]) -> list[str]:
         """Return what the log calls these: the caller's own name, and by what it is known again."""
         found = [ticket for each in ticket_ids if (ticket := self._by_id.get(each)) is not None]
         return [f"{ticket.request.get('name', '')}={ticket.identity}" for ticket in found]
--- a/tests/unit/daemon/test_upstream_task.py
+++ b/tests/unit/daemon/test_upstream_task.py
@@ -35,9 +35,9 @@
         """Keep the state."""
         self.told.append(upstream["state"])
 
-    def heard_again(self) -> None:
+    def announced_again(self) -> None:
         """Keep that."""
-        self.told.append("heard again")
+        self.told.append("announced again")
 
 
 class FakePeers:
--- a/tests/unit/delivery/test_owner_cold.py
+++ b/tests/unit/delivery/test_owner_cold.py
@@ -30,7 +30,7 @@
     queue = DueQueue(Shape(30, 60, 0, 8))
     owner = Owner(name, "depo", Shape(30, 60, 0, 8), 600.0, queue, None, quarantine)
     owner.hello(0.0, 1, hello("in-1", 1))
-    owner.bound_cold(-100.0, RATE)
+    owner.set_cold_rate(-100.0, RATE)
     return owner
 
 
@@ -92,7 +92,7 @@
     owner = make("depo-1", Quarantine())
     owner.announce(0.0, announced())
     assert states(owner.sampled(1.0, Sample(0, 2.0))) == ["cold"]
-    assert states(owner.heard_again(1.5, 0.0)) == []
+    assert states(owner.announced_again(1.5, 0.0)) == []
     assert states(owner.tick(2.9)) == []
     assert states(owner.tick(3.0)) == ["warm"]
 
