--- a/foldhoist/delivery/load_reports.py
+++ b/foldhoist/delivery/load_reports.py
@@ -47,7 +47,8 @@
         Those that have had calls here lately are asked in turn.
         """
         links = (
-            self._peers.users(now - PACE_KEPT_MS / 1000, MAX_PACE_REPORTS) or self._peers.links()
+            self._peers.recently_used(now - PACE_KEPT_MS / 1000, MAX_PACE_REPORTS)
+            or self._peers.links()
         )
         if not links:
             return []
@@ -57,9 +58,9 @@
 
     def pace_change(self, now: float) -> list[Action]:
         """Tell the pace, if it is news, to the ingresses that have had calls here of late."""
-        if not self._status.is_pace_news():
+        if not self._status.take_pace_change():
             return []
-        return self._to(self._peers.users(now - PACE_KEPT_MS / 1000, MAX_PACE_REPORTS))
+        return self._to(self._peers.recently_used(now - PACE_KEPT_MS / 1000, MAX_PACE_REPORTS))
 
     def crashes(self, suspects: list[Suspect]) -> list[Action]:
         """Tell every ingress, and have others told, what is new of calls that end upstreams."""
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -105,13 +105,13 @@
 
     def hello(self, now: float, link: int, hello: Hello) -> list[Action]:
         """Take in a new connection; an older one of the same ingress is closed."""
-        greeting = self._peers.greet(link, hello)
-        if not greeting.taken:
+        handshake = self._peers.connected(link, hello)
+        if not handshake.accepted:
             self.count.fenced += 1
             return [CloseLink(link)]
         actions: list[Action] = []
-        if greeting.ended_link is not None:
-            actions.append(CloseLink(greeting.ended_link))
+        if handshake.replaced_link is not None:
+            actions.append(CloseLink(handshake.replaced_link))
         actions.append(SendTo(link, Frame("Report", {"load": self.load()})))
         if suspects := self.quarantine.rows(now):
             actions.append(SendTo(link, crashes_frame(suspects)))
@@ -119,7 +119,7 @@
 
     def link_lost(self, now: float, link: int) -> None:
         """Take in that a connection fell; its ingress may come back and ask."""
-        self._peers.lost(now, link)
+        self._peers.disconnected(now, link)
 
     def dispatch(self, now: float, wall_ms: int, link: int, req: Dispatch) -> list[Action]:
         """Take in a call."""
@@ -171,27 +171,27 @@
         match result:
             case Whole():
                 self.status.answered(result.status)
-                told = self._learn_pace(now, result.pace)
+                reports = self._update_pace(now, result.pace)
                 if result.status < SERVER_ERROR:
                     self._cold.answered()
-                    told += self._reports.crashes(self.quarantine.answered(now, ticket.identity))
-                told += self._shed_guard.answered(ticket.started)
-                self._learn_crowding(now, ticket, served)
+                    reports += self._reports.crashes(self.quarantine.answered(now, ticket.identity))
+                reports += self._shed_guard.answered(ticket.started)
+                self._record_concurrency(now, ticket, served)
                 started = self._apply(now, self.queue.release(now, served))
-                started += self._use_slots(now)
-                return [*self._endings.answered(now, ticket_id, result, served), *started, *told]
+                started += self._update_slots(now)
+                return [*self._endings.answered(now, ticket_id, result, served), *started, *reports]
             case Shed():
                 self.status.state = "shedding"
-                noted = self._shed_guard.shed(now)
-                again_s = result.retry_after_s
-                return [*noted, *self._end_shed(now, ticket_id, "upstream-shed", again_s)]
+                reports = self._shed_guard.shed(now)
+                retry_after_s = result.retry_after_s
+                return [*reports, *self._end_shed(now, ticket_id, "upstream-shed", retry_after_s)]
             case Replaced():
-                told = self.set_leaving(REPLACED)
+                reports = self.set_leaving(REPLACED)
                 waiting = self._waiting.refuse(self.tickets.ids(), REPLACED)
-                return [*told, *waiting, *self._end_shed(now, ticket_id, REPLACED, 0.0)]
+                return [*reports, *waiting, *self._end_shed(now, ticket_id, REPLACED, 0.0)]
             case Broken():
                 self.count.lost += 1
-                self.status.broke()
+                self.status.failed()
                 started = self._apply(now, self.queue.release(now, None))
                 ran = "maybe" if result.sent else "no"
                 return [*self._endings.refused(ticket_id, ran, result.reason, 0.5), *started]
@@ -215,38 +215,38 @@
         """Take in what the upstream says of itself now; tells ingresses what is changes."""
         if sample.cold_s is not None:
             self._cold.seen(now, sample.cold_s)
-        told = self._note_cold(now)
+        reports = self._update_cold(now)
         if sample.pace:
-            told += self._learn_pace(now, sample.pace)
-        return [*told, *self._apply(now, self.queue.advance(now))]
+            reports += self._update_pace(now, sample.pace)
+        return [*reports, *self._apply(now, self.queue.advance(now))]
 
     def set_cold_rate(self, now: float, rate: ColdRate, began: float | None = None) -> list[Action]:
         """Take over what the upstream bears while it is cold; the daemon's process `began` then."""
         self._cold.bound(now, rate, began)
-        return self._note_cold(now)
+        return self._update_cold(now)
 
     def announced_again(self, now: float, cold_s: float) -> list[Action]:
         """Take in that the upstream announced itself with nothing new but how long it is cold."""
         self._cold.told(now, cold_s)
-        return [*self._note_cold(now), *self.clear_leaving(REPLACED)]
+        return [*self._update_cold(now), *self.clear_leaving(REPLACED)]
 
     def end_evacuation(self, now: float) -> list[Action]:
         """Take work again; the upstream, which had none for a while, may have turned cold."""
         self._cold.assume(now)
-        return [*self._note_cold(now), *self.clear_leaving(EVACUATED)]
+        return [*self._update_cold(now), *self.clear_leaving(EVACUATED)]
 
     def announce(self, now: float, upstream: Announced) -> list[Action]:
         """Take in what the upstream says of itself; "gone" is said when none is known."""
         actions: list[Action] = []
-        if self.status.upstream is not None and self.status.is_another(upstream):
+        if self.status.upstream is not None and self.status.is_new_incarnation(upstream):
             self._cold.replaced()
         if self.status.announce(now, upstream):
             actions += self._waiting.refuse(self.tickets.ids(), REPLACED)
         self._cold.told(now, upstream["cold_ms"] / 1000)
-        actions += self._note_cold(now)
+        actions += self._update_cold(now)
         self.service = upstream["service"]
         self._crowding.announced(upstream["slots"])
-        actions += self._use_slots(now)
+        actions += self._update_slots(now)
         if upstream["state"] == "ready":
             return [*actions, *self.clear_leaving("upstream")]
         return [*actions, *self.set_leaving("upstream")]
@@ -272,7 +272,7 @@
 
     def tick(self, now: float) -> list[Action]:
         """Refuse what has waited too long, drop what nobody will ask for, forget old peers."""
-        actions = self._note_cold(now)
+        actions = self._update_cold(now)
         actions += self._apply(now, self.queue.expire(now))
         actions += self._apply(now, self.queue.advance(now))
         actions += self._shed_guard.tick(now)
@@ -320,7 +320,7 @@
 
     # Steps
 
-    def _note_cold(self, now: float) -> list[Action]:
+    def _update_cold(self, now: float) -> list[Action]:
         """Tell every ingress if the upstream has turned cold or warm."""
         cold = self._cold.is_cold(now)
         if cold == self.status.cold:
@@ -328,19 +328,19 @@
         self.status.cold = cold
         return self._reports.to_all()
 
-    def _learn_pace(self, now: float, pace: int) -> list[Action]:
+    def _update_pace(self, now: float, pace: int) -> list[Action]:
         self.status.pace = pace
         match self.queue:
             case DueQueue() as queue:
                 queue.pace.told(now, pace)
         return self._reports.pace_change(now)
 
-    def _learn_crowding(self, now: float, ticket: Ticket, served_s: float) -> None:
+    def _record_concurrency(self, now: float, ticket: Ticket, served_s: float) -> None:
         if self.status.upstream is not None:
             route = ticket.request.get("route", "")
             self._crowding.answered(now, route, ticket.beside, served_s)
 
-    def _use_slots(self, now: float) -> list[Action]:
+    def _update_slots(self, now: float) -> list[Action]:
         """Use as many slots of an upstream that announces itself as are worth it now."""
         if self.status.upstream is None:
             return []
@@ -367,7 +367,7 @@
         actions: list[Action] = []
         for decision in decisions:
             match decision:
-                case Start(ticket_id) if now > self.status.stop_at:
+                case Start(ticket_id) if now > self.status.last_start_at:
                     actions += self._apply(now, self.queue.release(now, None))
                     actions += self._endings.refused(ticket_id, "no", "upstream-leaving", 0.0)
                 case Start(ticket_id):
--- a/foldhoist/delivery/peers.py
+++ b/foldhoist/delivery/peers.py
@@ -12,45 +12,45 @@
     from foldhoist.delivery.dispatch import Frame
     from foldhoist.schema.messages import Answer, Hello
 
-KEPT_RESULTS = 512
+MAX_KEPT_RESULTS = 512
 """Results kept for one ingress until it says that it has them."""
-KEPT_BYTES = 4 * 1024 * 1024
+MAX_KEPT_BYTES = 4 * 1024 * 1024
 """Bytes of results kept for one ingress."""
-KEPT_TOTAL_BYTES = 32 * 1024 * 1024
+MAX_KEPT_TOTAL_BYTES = 32 * 1024 * 1024
 """Bytes of results kept for all ingresses, an equal part for each."""
-FORGET_S = 600.0
+PEER_EXPIRY_S = 600.0
 """An ingress without connection or calls is forgotten after this, seconds."""
-ORPHAN_S = 1.0
+ORPHAN_GRACE_S = 1.0
 """Waiting calls of an ingress whose connection fell are dropped after this, seconds."""
-RESULT_BYTES = 100
+RESULT_OVERHEAD_BYTES = 100
 """Bytes that a kept result is counted for beside its body."""
 
 
-class Greeting(NamedTuple):
+class Handshake(NamedTuple):
     """Whether a connection is taken, and the older one that ends for it."""
 
-    taken: bool
-    ended_link: int | None
+    accepted: bool
+    replaced_link: int | None
 
 
 class Peers:
     """Ingresses by the name of their life, and by connection."""
 
     def __init__(self) -> None:
-        self._by_life: dict[str, Peer] = {}
+        self._by_incarnation: dict[str, Peer] = {}
         self._by_link: dict[int, Peer] = {}
 
-    def __getitem__(self, life: str) -> Peer:
+    def __getitem__(self, incarnation: str) -> Peer:
         """Return an ingress by its life."""
-        return self._by_life[life]
+        return self._by_incarnation[incarnation]
 
-    def get(self, life: str) -> Peer | None:
+    def get(self, incarnation: str) -> Peer | None:
         """Return an ingress by its life, or None."""
-        return self._by_life.get(life)
+        return self._by_incarnation.get(incarnation)
 
     def values(self) -> Iterable[Peer]:
         """Return every ingress."""
-        return self._by_life.values()
+        return self._by_incarnation.values()
 
     def at(self, link: int) -> Peer | None:
         """Return the ingress at a connection, or None if it has not greeted or was replaced."""
@@ -60,31 +60,31 @@
         """Return the connections that stand."""
         return list(self._by_link)
 
-    def users(self, since: float, most: int) -> list[int]:
+    def recently_used(self, since: float, limit: int) -> list[int]:
         """Return the connections of ingresses that have had calls here since then, newest first."""
         links = [link for link, peer in self._by_link.items() if peer.used_at >= since]
         links.sort(key=lambda link: self._by_link[link].used_at, reverse=True)
-        return links[:most]
+        return links[:limit]
 
-    def greet(self, link: int, hello: Hello) -> Greeting:
+    def connected(self, link: int, hello: Hello) -> Handshake:
         """Take in a new connection; one that is older than the newest is not taken."""
-        peer = self._by_life.get(hello["incarnation"])
+        peer = self._by_incarnation.get(hello["incarnation"])
         if peer is None:
             peer = Peer(hello["name"], hello["incarnation"], hello["epoch"], link)
-            self._by_life[hello["incarnation"]] = peer
+            self._by_incarnation[hello["incarnation"]] = peer
             self._by_link[link] = peer
-            return Greeting(True, None)
+            return Handshake(True, None)
         if hello["epoch"] <= peer.epoch:
-            return Greeting(False, None)
+            return Handshake(False, None)
         ended = peer.link
         if ended is not None:
             self._by_link.pop(ended, None)
         peer.epoch = hello["epoch"]
         peer.link = link
         self._by_link[link] = peer
-        return Greeting(True, ended)
+        return Handshake(True, ended)
 
-    def lost(self, now: float, link: int) -> None:
+    def disconnected(self, now: float, link: int) -> None:
         """Take in that a connection fell; its ingress may come back."""
         peer = self._by_link.pop(link, None)
         if peer is None:
@@ -94,23 +94,25 @@
 
     def orphaned(self, now: float) -> list[Peer]:
         """Return the ingresses whose connection fell too long ago for their calls to wait on."""
-        return [peer for peer in self._away() if now - peer.lost_at > ORPHAN_S]
+        return [peer for peer in self._without_link() if now - peer.lost_at > ORPHAN_GRACE_S]
 
     def forget_old(self, now: float) -> None:
         """Forget the ingresses that will not come back and have no calls."""
-        for peer in self._away():
-            if now - peer.lost_at > FORGET_S and not peer.live:
-                del self._by_life[peer.incarnation]
+        for peer in self._without_link():
+            if now - peer.lost_at > PEER_EXPIRY_S and not peer.live:
+                del self._by_incarnation[peer.incarnation]
 
-    def _away(self) -> list[Peer]:
-        return [peer for peer in self._by_life.values() if peer.link is None and peer.incarnation]
+    def _without_link(self) -> list[Peer]:
+        return [
+            peer for peer in self._by_incarnation.values() if peer.link is None and peer.incarnation
+        ]
 
     def keep(self, peer: Peer, seq: int, frame: Frame) -> None:
         """Keep a result until the ingress says that it has it, or there are too many."""
         peer.kept[seq] = frame
         peer.kept_bytes += _size(frame)
-        limit = min(KEPT_BYTES, KEPT_TOTAL_BYTES // len(self._by_life))
-        while len(peer.kept) > KEPT_RESULTS or peer.kept_bytes > limit:
+        limit = min(MAX_KEPT_BYTES, MAX_KEPT_TOTAL_BYTES // len(self._by_incarnation))
+        while len(peer.kept) > MAX_KEPT_RESULTS or peer.kept_bytes > limit:
             old, dropped = peer.kept.popitem(last=False)
             peer.kept_bytes -= _size(dropped)
             peer.forgotten = max(peer.forgotten, old)
@@ -134,5 +136,5 @@
 
 def _size(frame: Frame) -> int:
     if frame.kind != "Answer":
-        return RESULT_BYTES
-    return RESULT_BYTES + len(cast("Answer", frame.body)["body"])
+        return RESULT_OVERHEAD_BYTES
+    return RESULT_OVERHEAD_BYTES + len(cast("Answer", frame.body)["body"])
--- a/foldhoist/delivery/upstream_status.py
+++ b/foldhoist/delivery/upstream_status.py
@@ -42,11 +42,11 @@
         self.pace = 0
         self.errors = 0.0
         self.leaving_sources: dict[str, bool] = {}
-        self.stop_at = float("inf")
+        self.last_start_at = float("inf")
         self.watched = False
         self.cold = False
         self.shedding = Shedding()
-        self._told_pace = 0
+        self._reported_pace = 0
         self._answered_any = False
 
     @property
@@ -79,7 +79,7 @@
         before, self.state = self.state, state
         return before != state
 
-    def is_another(self, upstream: Announced) -> bool:
+    def is_new_incarnation(self, upstream: Announced) -> bool:
         """Return whether this is another life than the one known."""
         before = self.upstream
         return before is None or not life_of(before).is_same(life_of(upstream))
@@ -87,9 +87,9 @@
     def announce(self, now: float, upstream: Announced) -> bool:
         """Take in what it says of itself; returns whether it runs another service than before."""
         before = self.upstream
-        another = self.is_another(upstream)
+        new_incarnation = self.is_new_incarnation(upstream)
         self.upstream = upstream
-        if another:
+        if new_incarnation:
             self.state = "warm"
             self.pace = 0
             self.errors = 0.0
@@ -97,9 +97,9 @@
             self.leaving_sources.pop("upstream", None)
             self.leaving_sources.pop(REPLACED, None)
             # The leaving of the life before binds that life alone.
-            self.stop_at = float("inf")
+            self.last_start_at = float("inf")
         if upstream["state"] != "ready":
-            self.stop_at = min(self.stop_at, now + LEAVING_QUEUE_S)
+            self.last_start_at = min(self.last_start_at, now + LEAVING_QUEUE_S)
         return before is not None and before["service"] != upstream["service"]
 
     def set_leaving(self, source: str) -> bool:
@@ -114,7 +114,7 @@
         if not self.leaving_sources.pop(source, False):
             return False
         if not self.leaving_sources:
-            self.stop_at = float("inf")
+            self.last_start_at = float("inf")
         return True
 
     def answered(self, status: int) -> None:
@@ -125,17 +125,17 @@
         if self.state in ("shedding", "cold"):
             self.state = "warm"
 
-    def broke(self) -> None:
+    def failed(self) -> None:
         """Count a call without a whole answer."""
         self.errors += ERROR_SMOOTHING * (1.0 - self.errors)
 
-    def is_pace_news(self) -> bool:
+    def take_pace_change(self) -> bool:
         """Return whether the pace is another one than was last told; it counts as told then."""
         if not self.pace:
             return False
-        if not is_change(self.pace, self._told_pace or USUAL_PACE):
+        if not is_change(self.pace, self._reported_pace or USUAL_PACE):
             return False
-        self._told_pace = self.pace
+        self._reported_pace = self.pace
         return True
 
     def load(self, queue: SlotQueue | DueQueue) -> Load:
@@ -146,7 +146,7 @@
             "slots": queue.shape.slots,
             "service_us": int(queue.service_s * 1e6) if self._answered_any else 0,
             "errors": round(self.errors, 3),
-            "state": self._shown_state(),  # type: ignore[typeddict-item]
+            "state": self._reported_state(),  # type: ignore[typeddict-item]
         }
         if self.pace:
             load["pace"] = self.pace
@@ -154,7 +154,7 @@
                 load["pace_kept_ms"] = PACE_KEPT_MS
         return load
 
-    def _shown_state(self) -> str:
+    def _reported_state(self) -> str:
         if self.leaving:
             return "leaving"
         if self.shedding.all and self.state != "down":
--- a/tests/unit/delivery/test_owner.py
+++ b/tests/unit/delivery/test_owner.py
@@ -85,17 +85,17 @@
 def test_what_never_arrived_did_not_run_and_what_was_forgotten_may_have() -> None:
     owner = make()
     assert said(owner.fate(0.1, 1, {"seqs": [7]})) == [(7, "Refusal", "no")]
-    for seq in range(1, peers_module.KEPT_RESULTS + 10):
+    for seq in range(1, peers_module.MAX_KEPT_RESULTS + 10):
         (start,) = owner.dispatch(0.2, 0, 1, dispatch(seq))
         assert isinstance(start, StartCall)
         owner.finished(0.3, start.ticket, ANSWER)
     assert said(owner.fate(0.4, 1, {"seqs": [1]})) == [(1, "Refusal", "maybe")]
-    newest = peers_module.KEPT_RESULTS + 9
+    newest = peers_module.MAX_KEPT_RESULTS + 9
     assert said(owner.fate(0.4, 1, {"seqs": [newest]})) == [(newest, "Answer", "")]
 
 
 def test_results_kept_for_all_ingresses_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peers_module, "KEPT_TOTAL_BYTES", 20_000)
+    monkeypatch.setattr(peers_module, "MAX_KEPT_TOTAL_BYTES", 20_000)
     owner = make()
     for link in range(1, 11):
         owner.hello(0.0, link, hello(f"in-{link}", 2))
