--- a/foldhoist/delivery/holding.py
+++ b/foldhoist/delivery/quarantined_calls.py
@@ -9,27 +9,27 @@
 
 if TYPE_CHECKING:
     from foldhoist.delivery.dispatch import Action, Counters
-    from foldhoist.delivery.telling import Telling
+    from foldhoist.delivery.load_reports import LoadReports
     from foldhoist.delivery.tickets import Tickets
     from foldhoist.delivery.waiting import Waiting
     from foldhoist.quarantine.table import Quarantine
     from foldhoist.schema.messages import Dispatch, Suspect
 
 
-class Holding:
+class QuarantinedCalls:
     """Notes ends of the upstream, and refuses or stops what would end it again."""
 
     def __init__(
         self,
         quarantine: Quarantine,
         tickets: Tickets,
-        telling: Telling,
+        reports: LoadReports,
         waiting: Waiting,
         count: Counters,
     ) -> None:
         self._quarantine = quarantine
         self._tickets = tickets
-        self._telling = telling
+        self._reports = reports
         self._waiting = waiting
         self._count = count
 
@@ -40,21 +40,21 @@
         like it, has then counted this crash.
         """
         found = [ticket for each in ticket_ids if (ticket := self._tickets.get(each)) is not None]
-        news = self._quarantine.record_crash(now, {ticket.identity for ticket in found})
-        held = [row["call"] for row in news if self._quarantine.remaining_s(now, row["call"])]
-        return [*self._telling.crashes(news), *self._hold(held)]
+        changed = self._quarantine.record_crash(now, {ticket.identity for ticket in found})
+        held = [row["call"] for row in changed if self._quarantine.remaining_s(now, row["call"])]
+        return [*self._reports.crashes(changed), *self._quarantine_calls(held)]
 
     def learned(self, now: float, suspects: list[Suspect]) -> list[Action]:
         """Take in what another daemon knows of calls that end upstreams."""
-        return self._hold(self._quarantine.merge(now, suspects))
+        return self._quarantine_calls(self._quarantine.merge(now, suspects))
 
-    def held_s(self, now: float, req: Dispatch) -> float:
+    def remaining_s(self, now: float, req: Dispatch) -> float:
         """Return for how long a call like this is refused, seconds; 0 if it may run."""
         if not self._quarantine.active:
             return 0.0
         return self._quarantine.remaining_s(now, dispatch_identity(req))
 
-    def _hold(self, calls: list[str]) -> list[Action]:
+    def _quarantine_calls(self, calls: list[str]) -> list[Action]:
         """Refuse waiting calls that would end the upstream, and stop those at work.
 
         One at work that may not be repeated keeps its chance of an answer.
