--- a/foldhoist/delivery/codec.py
+++ b/foldhoist/delivery/codec.py
@@ -1,7 +1,7 @@
-"""Bytes of messages: a length, a kind, and the fields in MessagePack, checked when read.
+"""Wire format of messages: length, kind, and fields in MessagePack, validated when decoded.
 
-On a connection between two daemons the fields are deflated in one stream, so that what is the same
-in every message (names of fields, headers) costs a byte or two; bodies of calls go as they are.
+On a connection between two daemons the fields are deflated in one stream, so that what repeats in
+every message (field names, headers) takes little space; bodies of calls are sent uncompressed.
 """
 
 from __future__ import annotations
@@ -21,21 +21,17 @@
 SCHEMA_VERSION = 4
 """Version of the message schema; peers of another version are refused."""
 HEADER = Struct(">IB")
-"""Length of the fields in bytes, then the kind."""
+"""Header of a frame: length of what follows in bytes, then the kind."""
 DEFLATED = 0x80
-"""Bit of a kind: the fields are deflated, and the body of the call follows them."""
+"""Flag in the kind: the fields are deflated, and the body of the call follows them."""
 DEFLATED_HEADER = Struct(">I")
 """Length of the deflated fields, bytes."""
 WINDOW_BITS = -10
-"""Size of the window of a deflater, 1 KiB, without a header: the last few messages.
-
-A call's fields take 94 bytes with it and 95 with 4 KiB, the mean of 200 made like a caller's; its
-answer's 59 and 58.
-"""
+"""zlib window of 1 KiB, enough for the last few messages; negative for a raw stream."""
 MEMORY_LEVEL = 2
-"""Memory of a deflater: 2 KiB beside four times its window."""
+"""zlib memory level of a deflater: 2 KiB in addition to four times its window."""
 FRAME_OVERHEAD_BYTES = 256 * 1024
-"""Bytes that a frame may have beside a call's body."""
+"""Bytes that a frame may have in addition to the body of a call."""
 
 _KINDS: dict[str, tuple[int, type]] = {
     "Hello": (1, messages.Hello),
@@ -70,16 +66,16 @@
 
 
 def encode(kind: str, body: object) -> bytes:
-    """Return the frame of a message."""
+    """Return the frame of a message, not deflated."""
     fields = _ENCODER.encode(body)
     return HEADER.pack(len(fields), _NUMBERS[kind]) + fields
 
 
 def decode(number: int, fields: bytes | memoryview) -> tuple[str, Any]:
-    """Return kind and fields of a message; raises ProtocolError if they fit no schema."""
+    """Return kind and fields of a message; raises ProtocolError if they match no schema."""
     entry = _DECODERS.get(number)
     if entry is None:
-        raise ProtocolError(f"no message has kind {number}")
+        raise ProtocolError(f"unknown message kind {number}")
     name, decoder = entry
     try:
         return name, decoder.decode(fields)
@@ -88,23 +84,23 @@
 
 
 def decode_frame(frame: bytes) -> tuple[str, Any]:
-    """Return kind and fields of a message that came as one piece."""
+    """Return kind and fields of one complete frame; raises ProtocolError if it is invalid."""
     if len(frame) < HEADER.size:
-        raise ProtocolError("message shorter than its head")
+        raise ProtocolError("message shorter than its header")
     length, number = HEADER.unpack_from(frame)
     if length != len(frame) - HEADER.size:
-        raise ProtocolError("message length does not match its head")
+        raise ProtocolError("message length does not match its header")
     return decode(number, frame[HEADER.size :])
 
 
 class StreamEncoder:
-    """Writes the messages of one connection, in order."""
+    """Encodes the messages of one connection; they must be sent in this order."""
 
     def __init__(self) -> None:
         self._deflate = zlib.compressobj(1, zlib.DEFLATED, WINDOW_BITS, MEMORY_LEVEL)
 
     def encode(self, kind: str, body: Mapping[str, Any]) -> bytes:
-        """Return the bytes of the next message."""
+        """Return the frame of the next message."""
         raw: bytes = body.get("body", b"")
         fields = _ENCODER.encode({**body, "body": b""} if raw else body)
         deflated = self._deflate.compress(fields) + self._deflate.flush(zlib.Z_SYNC_FLUSH)
@@ -114,7 +110,7 @@
 
 
 class StreamDecoder:
-    """Cuts a stream of bytes into messages; `limit` is the longest allowed, bytes."""
+    """Decodes a stream of bytes into messages; `limit` is the longest allowed, bytes."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -124,7 +120,10 @@
         self._inflate = zlib.decompressobj(WINDOW_BITS)
 
     def feed(self, data: bytes) -> list[tuple[str, Any]]:
-        """Return the messages that are whole now; a long one is joined only when it is whole."""
+        """Return the messages completed by `data`; raises ProtocolError if one is invalid.
+
+        The parts of a long message are joined only once it is complete.
+        """
         if self._parts:
             self._parts.append(data)
             self._buffered += len(data)
@@ -138,7 +137,7 @@
         while size - at >= HEADER.size:
             length, number = HEADER.unpack_from(data, at)
             if length > self.limit:
-                raise ProtocolError(f"message of {length} bytes, longest allowed is {self.limit}")
+                raise ProtocolError(f"message of {length} bytes exceeds the limit of {self.limit}")
             end = at + HEADER.size + length
             if end > size:
                 self._needed = HEADER.size + length
@@ -153,15 +152,15 @@
         if not number & DEFLATED:
             return decode(number, fields)
         if len(fields) < DEFLATED_HEADER.size:
-            raise ProtocolError("message shorter than its head")
+            raise ProtocolError("message shorter than its header")
         (length,) = DEFLATED_HEADER.unpack_from(fields)
         split = DEFLATED_HEADER.size + length
         if split > len(fields):
-            raise ProtocolError("deflated fields are longer than their message")
+            raise ProtocolError("deflated fields exceed their message")
         try:
             plain = self._inflate.decompress(fields[DEFLATED_HEADER.size : split], self.limit)
         except zlib.error as exc:
-            raise ProtocolError(f"deflated fields: {exc}") from exc
+            raise ProtocolError(f"cannot inflate fields: {exc}") from exc
         kind, body = decode(number & ~DEFLATED, plain)
         if split < len(fields):
             body["body"] = fields[split:]
--- a/foldhoist/delivery/joined.py
+++ b/foldhoist/delivery/joined.py
@@ -4,19 +4,19 @@
 
 
 class JoinedCalls:
-    """Waiting calls by key; each is named by its ingress's incarnation and its own number there."""
+    """Joined calls by key, each as the incarnation of its ingress and its sequence number."""
 
     def __init__(self) -> None:
         self._by_key: dict[str, list[tuple[str, int]]] = {}
 
     def add(self, key: str, incarnation: str, seq: int) -> None:
-        """Let a call wait for the one that runs with its key."""
+        """Make a call wait for the running call with the same key."""
         self._by_key.setdefault(key, []).append((incarnation, seq))
 
     def take(self, key: str) -> list[tuple[str, int]]:
-        """Return the calls that waited for this key; they wait no longer."""
+        """Remove and return the calls that wait for this key."""
         return self._by_key.pop(key, [])
 
     def holds(self, incarnation: str, seq: int) -> bool:
-        """Return whether this call waits."""
+        """Return whether this call waits for another one."""
         return any((incarnation, seq) in waiting for waiting in self._by_key.values())
--- a/foldhoist/delivery/load_reports.py
+++ b/foldhoist/delivery/load_reports.py
@@ -1,4 +1,4 @@
-"""What an owner tells ingresses unasked: its load, to all or to those that it concerns; no I/O."""
+"""Unsolicited reports of an owner to ingresses: load, pace, crashes; no I/O."""
 
 from __future__ import annotations
 
@@ -16,16 +16,14 @@
     from foldhoist.schema.messages import Load, Suspect
 
 MAX_PACE_REPORTS = 24
-"""Ingresses that are told of a change of the pace, those with the newest calls first.
+"""Ingresses to which a change of the pace is reported, those with the newest calls first.
 
-A report takes 28 bytes of a warm connection (mean of 150) and 40 of headers. A pace that is drawn
-anew every 150 ms and slow a quarter of the time changes 2.5 times a second: 4 KB/s, of 10 KB/s that
-a daemon has for control.
+Bounds the control traffic of an upstream whose pace changes several times a second.
 """
 
 
 class LoadReports:
-    """Reports of one owner; times are monotonic seconds."""
+    """Builds the reports of one owner; times are monotonic seconds."""
 
     def __init__(self, status: UpstreamStatus, queue: SlotQueue | DueQueue, peers: Peers) -> None:
         self._status = status
@@ -34,17 +32,17 @@
         self._trials_invited = 0
 
     def load(self) -> Load:
-        """Return the load as it is now."""
+        """Return the current load."""
         return self._status.load(self._queue)
 
     def to_all(self) -> list[Action]:
-        """Tell every ingress."""
+        """Report the load to every ingress."""
         return self._to(self._peers.links())
 
     def invite_trial(self, now: float) -> list[Action]:
-        """Ask one ingress for a call, by telling it alone that the upstream takes calls.
+        """Invite one ingress to send a trial call, by reporting the state as warm to it alone.
 
-        Those that have had calls here lately are asked in turn.
+        Ingresses with recent calls here are invited in turn, or all if there are none.
         """
         links = (
             self._peers.recently_used(now - PACE_KEPT_MS / 1000, MAX_PACE_REPORTS)
@@ -57,13 +55,13 @@
         return [SendTo(links[self._trials_invited % len(links)], Frame("Report", {"load": load}))]
 
     def pace_change(self, now: float) -> list[Action]:
-        """Tell the pace, if it is news, to the ingresses that have had calls here of late."""
+        """Report the load to ingresses with recent calls if the pace has changed."""
         if not self._status.take_pace_change():
             return []
         return self._to(self._peers.recently_used(now - PACE_KEPT_MS / 1000, MAX_PACE_REPORTS))
 
     def crashes(self, suspects: list[Suspect]) -> list[Action]:
-        """Tell every ingress, and have others told, what is new of calls that end upstreams."""
+        """Report suspected calls to every ingress, and have them passed on to other daemons."""
         if not suspects:
             return []
         told = crashes_frame(suspects)
@@ -75,5 +73,5 @@
 
 
 def crashes_frame(suspects: list[Suspect]) -> Frame:
-    """Return the message that tells an ingress of calls that end upstreams."""
+    """Return the message that reports calls suspected of crashing upstreams."""
     return Frame("Crashes", {"suspects": suspects, "spread": False})
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -1,7 +1,7 @@
-"""The owner's side of delivery: every call to one upstream passes through this object.
+"""The owner's side of delivery: every call to one upstream passes through its owner.
 
-It takes frames and results with an explicit `now` (monotonic seconds) and returns actions for
-the tasks that own the sockets. It does no I/O and reads no clock.
+Frames and results come with an explicit `now` (monotonic seconds); the methods return actions for
+the tasks that own the sockets. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -61,11 +61,11 @@
 QUEUE_PER_SLOT = 3
 """Calls that may wait for each slot of an upstream that announces itself."""
 SERVER_ERROR = 500
-"""Statuses from this on do not show that an upstream can run a call to its end."""
+"""Answers with this status or above are no evidence that a call does not crash the upstream."""
 
 
 class Owner:
-    """Admission, dispatch and the memory of results for one upstream."""
+    """Admits and dispatches calls for one upstream, and keeps results until acknowledged."""
 
     def __init__(
         self,
@@ -101,10 +101,10 @@
             self.status, self.tickets, self._quarantined, self._shed_guard
         )
 
-    # What the tasks tell it
+    # Events, as reported by the tasks
 
     def hello(self, now: float, link: int, hello: Hello) -> list[Action]:
-        """Take in a new connection; an older one of the same ingress is closed."""
+        """Accept a connection with a new epoch and close the one it replaces; else close this one."""
         handshake = self._peers.connected(link, hello)
         if not handshake.accepted:
             self.count.fenced += 1
@@ -118,11 +118,11 @@
         return actions
 
     def link_lost(self, now: float, link: int) -> None:
-        """Take in that a connection fell; its ingress may come back and ask."""
+        """Handle a lost connection; its ingress may reconnect and ask for results."""
         self._peers.disconnected(now, link)
 
     def dispatch(self, now: float, wall_ms: int, link: int, req: Dispatch) -> list[Action]:
-        """Take in a call."""
+        """Refuse a call, answer it by its idempotency key, or queue or start it."""
         peer = self._peers.at(link)
         if peer is None:
             self.count.fenced += 1
@@ -138,7 +138,7 @@
         return self._admit(now, peer, req)
 
     def withdraw(self, now: float, link: int, message: Withdraw) -> list[Action]:
-        """Take in that nobody waits for a call any more."""
+        """Drop or cancel a call that its ingress has given up; one with a key goes on."""
         peer = self._peers.at(link)
         if peer is None:
             return []
@@ -156,14 +156,14 @@
         return [CancelCall(ticket_id)]
 
     def fate(self, now: float, link: int, message: FateAsk) -> list[Action]:
-        """Say what became of calls whose connection fell."""
+        """Send the results of calls that were sent over a lost connection, unless they run."""
         peer = self._peers.at(link)
         if peer is None:
             return []
         return [SendTo(link, frame) for frame in self._endings.fates(peer, message["seqs"])]
 
     def finished(self, now: float, ticket_id: int, result: Result) -> list[Action]:
-        """Take in what the upstream made of a call."""
+        """Handle the result of a call that ran at the upstream."""
         ticket = self.tickets.get(ticket_id)
         if ticket is None:
             return []
@@ -197,9 +197,9 @@
                 return [*self._endings.refused(ticket_id, ran, result.reason, 0.5), *started]
 
     def upstream_ended(self, now: float, tickets: list[int]) -> list[Action]:
-        """Take in that the upstream has ended with these calls at work.
+        """Handle a crash of the upstream while these calls were running.
 
-        One that got more than it bears ended by that: it is no evidence against these calls.
+        The calls are not suspected if a cold upstream had received more calls than it can take.
         """
         self.count.crashes += 1
         if self._cold.is_overloaded(now):
@@ -208,11 +208,11 @@
         return self._quarantined.upstream_ended(now, tickets)
 
     def learn_crashes(self, now: float, suspects: list[Suspect]) -> list[Action]:
-        """Take in what another daemon knows of calls that end upstreams."""
+        """Merge what another daemon knows of calls that crash upstreams."""
         return self._quarantined.learned(now, suspects)
 
     def sampled(self, now: float, sample: Sample) -> list[Action]:
-        """Take in what the upstream says of itself now; tells ingresses what is changes."""
+        """Handle a sample of the upstream's state; reports changes to ingresses."""
         if sample.cold_s is not None:
             self._cold.seen(now, sample.cold_s)
         reports = self._update_cold(now)
@@ -221,22 +221,22 @@
         return [*reports, *self._apply(now, self.queue.advance(now))]
 
     def set_cold_rate(self, now: float, rate: ColdRate, began: float | None = None) -> list[Action]:
-        """Take over what the upstream bears while it is cold; the daemon's process `began` then."""
+        """Set the call rate of a cold upstream; `began` is when the daemon's process started."""
         self._cold.bound(now, rate, began)
         return self._update_cold(now)
 
     def announced_again(self, now: float, cold_s: float) -> list[Action]:
-        """Take in that the upstream announced itself with nothing new but how long it is cold."""
+        """Handle an announcement that changes nothing but the remaining cold time."""
         self._cold.told(now, cold_s)
         return [*self._update_cold(now), *self.clear_leaving(REPLACED)]
 
     def end_evacuation(self, now: float) -> list[Action]:
-        """Take work again; the upstream, which had none for a while, may have turned cold."""
+        """Take calls again; the upstream was idle and is assumed to have turned cold."""
         self._cold.assume(now)
         return [*self._update_cold(now), *self.clear_leaving(EVACUATED)]
 
     def announce(self, now: float, upstream: Announced) -> list[Action]:
-        """Take in what the upstream says of itself; "gone" is said when none is known."""
+        """Handle an announcement of the upstream; state "gone" means that none is known."""
         actions: list[Action] = []
         if self.status.upstream is not None and self.status.is_new_incarnation(upstream):
             self._cold.replaced()
@@ -252,26 +252,26 @@
         return [*actions, *self.set_leaving("upstream")]
 
     def reshape(self, now: float, shape: Shape) -> list[Action]:
-        """Take over the sizes of the queue; tells every ingress if the slots are others."""
+        """Set the limits of the queue; reports a changed number of slots to every ingress."""
         before, self.queue.shape = self.queue.shape, shape
         if before.slots == shape.slots:
             return []
         return [*self._reports.to_all(), *self._apply(now, self.queue.advance(now))]
 
     def set_state(self, state: str) -> list[Action]:
-        """Take in what the upstream says of itself; tells every ingress if it changed."""
+        """Set the state of the upstream; reports a change to every ingress."""
         return self._reports.to_all() if self.status.set_state(state) else []
 
     def set_leaving(self, source: str) -> list[Action]:
-        """Stop taking new work, because `source` says that the upstream is leaving."""
+        """Stop admitting calls because `source` reports that the upstream is leaving."""
         return self._reports.to_all() if self.status.set_leaving(source) else []
 
     def clear_leaving(self, source: str) -> list[Action]:
-        """Take back what `source` said; other sources still count."""
+        """Withdraw the report of `source`; calls are admitted once no source is left."""
         return self._reports.to_all() if self.status.clear_leaving(source) else []
 
     def tick(self, now: float) -> list[Action]:
-        """Refuse what has waited too long, drop what nobody will ask for, forget old peers."""
+        """Refuse calls that waited too long, drop orphaned ones, and expire peers and keys."""
         actions = self._update_cold(now)
         actions += self._apply(now, self.queue.expire(now))
         actions += self._apply(now, self.queue.advance(now))
@@ -283,20 +283,20 @@
         self.keys.expire(now)
         return actions
 
-    # What others may read
+    # State for other components
 
     @property
     def leaving(self) -> bool:
-        """Return whether this upstream takes no new work."""
+        """Return whether the upstream takes no new calls."""
         return self.status.leaving
 
     @property
     def calls(self) -> int:
-        """Return the calls that wait or run here."""
+        """Return the number of calls that wait or run."""
         return len(self.tickets)
 
     def next_at(self, now: float) -> float | None:
-        """Return when `tick` has something to do for a waiting call; None for never."""
+        """Return when `tick` is next due for a waiting call, or None."""
         match self.queue:
             case DueQueue() as queue:
                 return queue.next_at(now)
@@ -308,20 +308,20 @@
         return peer.name if peer is not None else ""
 
     def ended(self, now: float, ticket_id: int, result: Result) -> Ended | None:
-        """Return what to record of a call whose result is about to be taken in."""
+        """Return the record of a call whose result has arrived but is not handled yet."""
         ticket = self.tickets.get(ticket_id)
         if ticket is None:
             return None
         return replies.ended_record(now, ticket, result, self.queue.busy, self.queue.queued)
 
     def load(self) -> Load:
-        """Return the load as it is now."""
+        """Return the current load."""
         return self._reports.load()
 
-    # Steps
+    # Internals
 
     def _update_cold(self, now: float) -> list[Action]:
-        """Tell every ingress if the upstream has turned cold or warm."""
+        """Report a change between cold and warm to every ingress."""
         cold = self._cold.is_cold(now)
         if cold == self.status.cold:
             return []
@@ -341,7 +341,7 @@
             self._crowding.answered(now, route, ticket.beside, served_s)
 
     def _update_slots(self, now: float) -> list[Action]:
-        """Use as many slots of an upstream that announces itself as are worth it now."""
+        """Apply the concurrency limit to an upstream that has announced itself."""
         if self.status.upstream is None:
             return []
         slots = self._crowding.room(now)
--- a/foldhoist/delivery/owner_admission.py
+++ b/foldhoist/delivery/owner_admission.py
@@ -1,4 +1,4 @@
-"""Which calls an owner does not take in: nothing of them has reached the upstream."""
+"""Checks that a call passes before an owner admits it; a rejected call never ran."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class Rejection(NamedTuple):
-    """Why a call is not taken in, and when asking again makes sense, seconds."""
+    """Why a call is not admitted, and after how many seconds to retry."""
 
     reason: str
     retry_after_s: float = 1.0
 
 
 class OwnerAdmission:
-    """What decides whether a call is taken in; times are monotonic seconds."""
+    """Decides whether an owner admits a call; times are monotonic seconds."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._shed_guard = shed_guard
 
     def rejection(self, now: float, req: Dispatch, service: str) -> Rejection | None:
-        """Return why a call is not taken in, or None; `service` is the upstream's."""
+        """Return why a call is rejected, or None; `service` is the upstream's service."""
         if self._status.leaving:
             return Rejection(self._status.refusal)
         if req["service"] != service:
--- a/foldhoist/delivery/peers.py
+++ b/foldhoist/delivery/peers.py
@@ -1,4 +1,4 @@
-"""The ingresses that an owner serves: their connections, and the results kept for them."""
+"""Ingresses connected to an owner, and the results kept for them."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
     from foldhoist.schema.messages import Answer, Hello
 
 MAX_KEPT_RESULTS = 512
-"""Results kept for one ingress until it says that it has them."""
+"""Results kept for one ingress until it acknowledges them."""
 MAX_KEPT_BYTES = 4 * 1024 * 1024
 """Bytes of results kept for one ingress."""
 MAX_KEPT_TOTAL_BYTES = 32 * 1024 * 1024
-"""Bytes of results kept for all ingresses, an equal part for each."""
+"""Bytes of results kept for all ingresses, shared equally."""
 PEER_EXPIRY_S = 600.0
-"""An ingress without connection or calls is forgotten after this, seconds."""
+"""An ingress without connection and calls is forgotten after this time, seconds."""
 ORPHAN_GRACE_S = 1.0
-"""Waiting calls of an ingress whose connection fell are dropped after this, seconds."""
+"""Waiting calls of an ingress are dropped this long after its connection was lost, seconds."""
 RESULT_OVERHEAD_BYTES = 100
-"""Bytes that a kept result is counted for beside its body."""
+"""Bytes counted for a kept result in addition to its body."""
 
 
 class Handshake(NamedTuple):
-    """Whether a connection is taken, and the older one that ends for it."""
+    """Whether a connection is accepted, and the older connection that it replaces."""
 
     accepted: bool
     replaced_link: int | None
 
 
 class Peers:
-    """Ingresses by the name of their life, and by connection."""
+    """Ingresses by incarnation and by connection; times are monotonic seconds."""
 
     def __init__(self) -> None:
         self._by_incarnation: dict[str, Peer] = {}
         self._by_link: dict[int, Peer] = {}
 
     def __getitem__(self, incarnation: str) -> Peer:
-        """Return an ingress by its life."""
+        """Return the ingress with this incarnation."""
         return self._by_incarnation[incarnation]
 
     def get(self, incarnation: str) -> Peer | None:
-        """Return an ingress by its life, or None."""
+        """Return the ingress with this incarnation, or None."""
         return self._by_incarnation.get(incarnation)
 
     def values(self) -> Iterable[Peer]:
@@ -53,21 +53,21 @@
         return self._by_incarnation.values()
 
     def at(self, link: int) -> Peer | None:
-        """Return the ingress at a connection, or None if it has not greeted or was replaced."""
+        """Return the ingress of a connection; None before its Hello and once it was replaced."""
         return self._by_link.get(link)
 
     def links(self) -> list[int]:
-        """Return the connections that stand."""
+        """Return the open connections."""
         return list(self._by_link)
 
     def recently_used(self, since: float, limit: int) -> list[int]:
-        """Return the connections of ingresses that have had calls here since then, newest first."""
+        """Return up to `limit` connections used for calls since `since`, most recent first."""
         links = [link for link, peer in self._by_link.items() if peer.used_at >= since]
         links.sort(key=lambda link: self._by_link[link].used_at, reverse=True)
         return links[:limit]
 
     def connected(self, link: int, hello: Hello) -> Handshake:
-        """Take in a new connection; one that is older than the newest is not taken."""
+        """Register a connection; one whose epoch is not above the last is not accepted."""
         peer = self._by_incarnation.get(hello["incarnation"])
         if peer is None:
             peer = Peer(hello["name"], hello["incarnation"], hello["epoch"], link)
@@ -85,7 +85,7 @@
         return Handshake(True, ended)
 
     def disconnected(self, now: float, link: int) -> None:
-        """Take in that a connection fell; its ingress may come back."""
+        """Mark a connection as lost; its ingress may reconnect."""
         peer = self._by_link.pop(link, None)
         if peer is None:
             return
@@ -93,11 +93,11 @@
         peer.lost_at = now
 
     def orphaned(self, now: float) -> list[Peer]:
-        """Return the ingresses whose connection fell too long ago for their calls to wait on."""
+        """Return the ingresses whose connection was lost longer ago than the grace time."""
         return [peer for peer in self._without_link() if now - peer.lost_at > ORPHAN_GRACE_S]
 
     def forget_old(self, now: float) -> None:
-        """Forget the ingresses that will not come back and have no calls."""
+        """Forget the ingresses that have been disconnected for long and have no calls."""
         for peer in self._without_link():
             if now - peer.lost_at > PEER_EXPIRY_S and not peer.live:
                 del self._by_incarnation[peer.incarnation]
@@ -108,7 +108,7 @@
         ]
 
     def keep(self, peer: Peer, seq: int, frame: Frame) -> None:
-        """Keep a result until the ingress says that it has it, or there are too many."""
+        """Keep a result until it is acknowledged; the oldest ones beyond the limits are dropped."""
         peer.kept[seq] = frame
         peer.kept_bytes += _size(frame)
         limit = min(MAX_KEPT_BYTES, MAX_KEPT_TOTAL_BYTES // len(self._by_incarnation))
@@ -119,7 +119,7 @@
 
 
 def drop_acked(peer: Peer, acked: int) -> None:
-    """Drop the results that the ingress has."""
+    """Drop the results with a sequence number below `acked`: the ingress has them."""
     while peer.kept:
         seq = next(iter(peer.kept))
         if seq >= acked:
@@ -128,7 +128,7 @@
 
 
 def fate_without_result(peer: Peer, seq: int) -> tuple[str, str]:
-    """Return whether a call of which no result is kept ran ("no" or "maybe"), and why."""
+    """Return whether a call without a kept result ran ("no" or "maybe"), and the reason."""
     if seq <= peer.forgotten:
         return "maybe", "result-forgotten"
     return "no", "never-arrived"
--- a/foldhoist/delivery/pieces.py
+++ b/foldhoist/delivery/pieces.py
@@ -1,6 +1,6 @@
-"""Large answers in pieces, so that other messages of the same connection go in between; no I/O.
+"""Splits large answers into pieces, so that other messages can be interleaved; no I/O.
 
-A message is handed on whole or not at all: what the connection's end has cut off is dropped.
+An answer is delivered complete or not at all: one cut off by a lost connection is dropped.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
     from foldhoist.schema.messages import Piece
 
 PIECE_BYTES = 16 * 1024
-"""Size of a piece, bytes: 11 ms on a link of 12 Mbit/s, the most that others wait for it."""
+"""Size of a piece, bytes; bounds how long other messages wait for one on a slow link."""
 
 
 class _Remainder(NamedTuple):
-    """What is left to send of an answer's body."""
+    """The part of an answer's body that is still to be sent."""
 
     number: int
     body: memoryview
 
 
 class Fragmenter:
-    """Cuts the answers that one connection sends; pieces of several go by turns."""
+    """Splits the answers sent over one connection; pieces of several answers alternate."""
 
     def __init__(self) -> None:
         self.pending = 0
@@ -35,7 +35,7 @@
         self._remainders: deque[_Remainder] = deque()
 
     def first(self, body: Mapping[str, Any]) -> Mapping[str, Any]:
-        """Return the message to send first; the rest of a large answer follows by `piece`."""
+        """Return the message to send now; `next_piece` returns the rest of a large bulk answer."""
         raw: bytes = body.get("body", b"")
         if len(raw) <= PIECE_BYTES or not body.get("bulk", False):
             return body
@@ -46,7 +46,7 @@
         return {**body, "body": raw[:PIECE_BYTES], "rest": number}
 
     def next_piece(self) -> Piece | None:
-        """Return the next piece, None if nothing is left to send."""
+        """Return the next piece, or None if nothing is left to send."""
         if not self._remainders:
             return None
         rest = self._remainders.popleft()
@@ -58,14 +58,17 @@
 
 
 class _Partial(NamedTuple):
-    """An answer of which more is to come."""
+    """An answer whose pieces have not all arrived."""
 
     body: dict[str, Any]
     parts: list[bytes]
 
 
 class Reassembler:
-    """Puts together what one connection brings; `limit` is the longest body, bytes."""
+    """Reassembles the answers received over one connection.
+
+    `limit` is the total size of incomplete answers, bytes.
+    """
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
@@ -73,22 +76,28 @@
         self._buffered_bytes = 0
 
     def on_answer(self, body: dict[str, Any]) -> dict[str, Any] | None:
-        """Return an answer that is whole, or None if pieces of it are to come."""
+        """Return the answer if it is complete, or None if pieces of it follow.
+
+        Raises ProtocolError if the number is in use or the limit is exceeded.
+        """
         number = body.pop("rest", None)
         if number is None:
             return body
         if number in self._partials:
-            raise ProtocolError(f"the answer with rest {number} is there twice")
+            raise ProtocolError(f"two incomplete answers have number {number}")
         self._partials[number] = _Partial(body, [])
         self._add_buffered(body["body"])
         self._partials[number].parts.append(body["body"])
         return None
 
     def on_piece(self, piece: Piece) -> dict[str, Any] | None:
-        """Return the answer that this piece completes, or None."""
+        """Return the answer that this piece completes, or None.
+
+        Raises ProtocolError if the number is unknown or the limit is exceeded.
+        """
         partial = self._partials.get(piece["number"])
         if partial is None:
-            raise ProtocolError(f"a piece of {piece['number']}, of which no answer is there")
+            raise ProtocolError(f"piece of unknown answer {piece['number']}")
         self._add_buffered(piece["body"])
         partial.parts.append(piece["body"])
         if not piece["last"]:
@@ -101,4 +110,4 @@
     def _add_buffered(self, part: bytes) -> None:
         self._buffered_bytes += len(part)
         if self._buffered_bytes > self._limit:
-            raise ProtocolError(f"more than {self._limit} bytes of answers without their ends")
+            raise ProtocolError(f"incomplete answers exceed {self._limit} bytes")
--- a/foldhoist/delivery/quarantined_calls.py
+++ b/foldhoist/delivery/quarantined_calls.py
@@ -1,4 +1,4 @@
-"""What an owner does about calls under which upstreams end; no I/O."""
+"""Refuses and stops calls that crash upstreams; no I/O."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class QuarantinedCalls:
-    """Notes ends of the upstream, and refuses or stops what would end it again."""
+    """Records crashes of the upstream, and refuses or stops quarantined calls."""
 
     def __init__(
         self,
@@ -34,10 +34,10 @@
         self._count = count
 
     def upstream_ended(self, now: float, ticket_ids: list[int]) -> list[Action]:
-        """Take in that the upstream has ended with these calls at work.
+        """Record a crash of the upstream while these calls were running.
 
-        They are told before their refusals: an ingress that may send one of them again, or gets one
-        like it, has then counted this crash.
+        The crash is reported before the calls are refused, so that an ingress has counted it before
+        it retries one of them.
         """
         found = [ticket for each in ticket_ids if (ticket := self._tickets.get(each)) is not None]
         changed = self._quarantine.crashed(now, {ticket.identity for ticket in found})
@@ -45,19 +45,19 @@
         return [*self._reports.crashes(changed), *self._quarantine_calls(held)]
 
     def learned(self, now: float, suspects: list[Suspect]) -> list[Action]:
-        """Take in what another daemon knows of calls that end upstreams."""
+        """Merge what another daemon knows of calls that crash upstreams."""
         return self._quarantine_calls(self._quarantine.learned(now, suspects))
 
     def remaining_s(self, now: float, req: Dispatch) -> float:
-        """Return for how long a call like this is refused, seconds; 0 if it may run."""
+        """Return how long the call stays quarantined, seconds; 0 if it may run."""
         if not self._quarantine.holding:
             return 0.0
         return self._quarantine.held_s(now, dispatch_identity(req))
 
     def _quarantine_calls(self, calls: list[str]) -> list[Action]:
-        """Refuse waiting calls that would end the upstream, and stop those at work.
+        """Refuse waiting calls that are quarantined and cancel running ones.
 
-        One at work that may not be repeated keeps its chance of an answer.
+        A running call that is not repeatable is left to finish.
         """
         if not calls:
             return []
--- a/foldhoist/delivery/refusal_log.py
+++ b/foldhoist/delivery/refusal_log.py
@@ -1,4 +1,4 @@
-"""Refusals that an owner has made and its task has not yet logged; no I/O."""
+"""Refusals of an owner that its task has yet to log; no I/O."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
     from foldhoist.schema.messages import Dispatch, Load
 
 MAX_PENDING = 100
-"""Refusals noted at once; the task that runs the owner takes them at each of its steps."""
+"""Refusals kept for the log; further ones are dropped until the owner's task takes them."""
 
 
 class RefusalLog:
-    """What to log of refusals, bounded."""
+    """Bounded list of refusals to log."""
 
     def __init__(self) -> None:
         self._pending: list[Refused] = []
 
     def add(self, req: Dispatch, reason: str, retry_after_s: float, load: Load) -> None:
-        """Note a refusal, unless there are too many already."""
+        """Add a refusal unless the list is full."""
         if len(self._pending) < MAX_PENDING:
             self._pending.append(replies.refused_record(req, reason, retry_after_s, load))
 
     def take(self) -> list[Refused]:
-        """Return what was noted since the last time."""
+        """Return and clear the refusals added since the last call."""
         pending, self._pending = self._pending, []
         return pending
--- a/foldhoist/delivery/replies.py
+++ b/foldhoist/delivery/replies.py
@@ -1,4 +1,4 @@
-"""The frames and records by which an owner tells what became of a call."""
+"""Frames and log records of an owner about the result of a call."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
     *,
     bulk: bool = False,
 ) -> Frame:
-    """Return an answer; `times_us` are the wait for a slot and the time at the upstream.
+    """Return an answer; `times_us` is the wait for a slot and the service time, microseconds.
 
-    One of a `bulk` route may be sent in pieces.
+    An answer of a `bulk` route may be sent in pieces.
     """
     waited_us, served_us = times_us
     body: Answer = {
@@ -48,7 +48,7 @@
 ) -> Frame:
     """Return a refusal; `ran` is "no" or "maybe".
 
-    `reached` tells that the upstream got the call and turned it away.
+    `reached` means that the upstream received the call and rejected it.
     """
     body: Refusal = {
         "seq": seq,
@@ -63,12 +63,12 @@
 
 
 def denied_frame(seq: int, denial: Deny, load: Load) -> Frame:
-    """Return the refusal of a call whose idempotency key is not run."""
+    """Return the refusal of a call whose idempotency key was denied."""
     return refusal_frame(seq, denial.ran, denial.reason, denial.retry_after_s, load)
 
 
 def refused_record(req: Dispatch, reason: str, retry_after_s: float, load: Load) -> Refused:
-    """Return what the log tells of a refusal."""
+    """Return the log record of a refusal."""
     return Refused(
         req.get("name", ""),
         req["trace"],
@@ -83,7 +83,7 @@
 
 
 def ended_record(now: float, ticket: Ticket, result: Result, busy: int, queued: int) -> Ended:
-    """Return what is recorded of a call that the upstream has ended."""
+    """Return the record of a call with its result from the upstream."""
     match result:
         case Whole(status):
             name = f"answered {status}"
@@ -96,5 +96,5 @@
     req = ticket.request
     waited_us = int((ticket.started - ticket.arrived) * 1e6)
     served_us = int((now - ticket.started) * 1e6)
-    told = req.get("name", "")
-    return Ended(req["trace"], req["seq"], waited_us, served_us, name, busy, queued, told)
+    request_name = req.get("name", "")
+    return Ended(req["trace"], req["seq"], waited_us, served_us, name, busy, queued, request_name)
--- a/foldhoist/delivery/shed_guard.py
+++ b/foldhoist/delivery/shed_guard.py
@@ -1,4 +1,4 @@
-"""What an owner does while its upstream turns all calls away: refuses by its own word; no I/O."""
+"""Refuses calls at the owner while its upstream sheds all of them; no I/O."""
 
 from __future__ import annotations
 
@@ -12,15 +12,14 @@
     from foldhoist.delivery.waiting import Waiting
 
 SHEDS_ALL = "upstream-sheds-all"
-"""Reason of a refusal by an owner whose upstream turns every call away."""
+"""Reason of refusals by an owner whose upstream sheds every call."""
 
 
 class ShedGuard:
-    """Keeps calls from an upstream that would turn them away; times are monotonic seconds.
+    """Keeps calls from an upstream that sheds all of them; times are monotonic seconds.
 
-    A refusal of the owner's is no arrival at the upstream, costs nothing of the retry budget and
-    comes before any wait. One ingress after the other is asked for a single call, which finds out
-    whether the upstream takes calls again.
+    A refusal by the owner uses no retry budget and comes before any wait in the queue. Ingresses
+    are asked in turn for a single trial call, which shows whether the upstream has recovered.
     """
 
     def __init__(
@@ -32,23 +31,23 @@
         self._tickets = tickets
 
     def refuses(self, now: float) -> bool:
-        """Return whether a call that arrives now is refused."""
+        """Return whether a call that arrives now is refused; one that is not may be the trial."""
         return not self._status.shedding.takes(now)
 
     def retry_after_s(self, now: float) -> float:
-        """Return when a call may be taken, seconds."""
+        """Return the time until the next trial call is allowed, seconds."""
         return self._status.shedding.again_s(now)
 
     def shed(self, now: float) -> list[Action]:
-        """Take in that the upstream has turned a call away."""
+        """Count a call that the upstream shed; once it sheds all, refuse the waiting calls."""
         if not self._status.shedding.turned_away(now):
             return []
         return [*self._reports.to_all(), *self._waiting.refuse(self._tickets.ids(), SHEDS_ALL)]
 
     def answered(self, started: float) -> list[Action]:
-        """Take in that the upstream has run a call that had started then."""
+        """Count a call, started at `started`, that the upstream has answered."""
         return self._reports.to_all() if self._status.shedding.answered(started) else []
 
     def tick(self, now: float) -> list[Action]:
-        """Ask an ingress for a call if it is time to find out."""
+        """Ask an ingress for a trial call if one is due."""
         return self._reports.invite_trial(now) if self._status.shedding.invites(now) else []
--- a/foldhoist/delivery/tickets.py
+++ b/foldhoist/delivery/tickets.py
@@ -1,4 +1,4 @@
-"""The calls that wait or run at an owner; no I/O."""
+"""Calls that wait or run at an owner; no I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Tickets:
-    """Calls by a number of this owner, and a bound on the bytes of their bodies."""
+    """Calls by ticket number, with a limit on the total size of their bodies."""
 
     def __init__(self, bodies: HeldBytes | None) -> None:
         self._bodies = bodies if bodies is not None else HeldBytes(MOST_BODY_BYTES)
@@ -24,7 +24,7 @@
         self._repeats = StartedRepeats()
 
     def __len__(self) -> int:
-        """Return the calls that wait or run."""
+        """Return the number of calls that wait or run."""
         return len(self._by_id)
 
     def __getitem__(self, ticket_id: int) -> Ticket:
@@ -36,16 +36,16 @@
         return self._by_id.get(ticket_id)
 
     def ids(self) -> list[int]:
-        """Return the numbers of all calls."""
+        """Return the ticket numbers of all calls."""
         return list(self._by_id)
 
     def has_room(self, req: Dispatch) -> bool:
-        """Return whether the body of one more call fits."""
+        """Return whether the body of the call fits into the limit."""
         size = len(req["body"])
         return self._bodies.has_room(size, size)
 
     def add(self, ticket: Ticket) -> int:
-        """Add a call, with its body; returns its number."""
+        """Add a call and reserve memory for its body; returns its ticket number."""
         ticket_id = self._next_id
         self._next_id += 1
         self._by_id[ticket_id] = ticket
@@ -53,7 +53,7 @@
         return ticket_id
 
     def start(self, ticket_id: int, now: float) -> Ticket:
-        """Note that a call goes to the upstream."""
+        """Mark a call as running at the upstream."""
         ticket = self._by_id[ticket_id]
         ticket.running = True
         ticket.started = now
@@ -63,16 +63,16 @@
 
     @property
     def most_common_rank(self) -> int:
-        """Return the rank of most calls at the upstream, NO_RANK if there are none."""
+        """Return the most frequent rank among running calls, NO_RANK if none runs."""
         return max(self._running, key=self._running.__getitem__, default=NO_RANK)
 
     @property
     def repeat_share(self) -> float:
-        """Return how likely a call of the upstream is a part of a repeat, 0 if it runs nothing."""
+        """Return the share of repeats among recently started calls, 0 if none runs."""
         return self._repeats.share if self._running else 0.0
 
     def pop(self, ticket_id: int) -> Ticket:
-        """Remove a call that has ended, with its body."""
+        """Remove a call that has ended and release the memory of its body."""
         ticket = self._by_id.pop(ticket_id)
         self._bodies.give_back(len(ticket.request["body"]))
         if ticket.running:
@@ -82,10 +82,10 @@
         return ticket
 
     def log_labels(self, ticket_ids: list[int]) -> list[str]:
-        """Return what the log calls these: the caller's own name, and by what it is known again."""
+        """Return `NAME=IDENTITY` for each of these calls that has not ended."""
         found = [ticket for each in ticket_ids if (ticket := self._by_id.get(each)) is not None]
         return [f"{ticket.request.get('name', '')}={ticket.identity}" for ticket in found]
 
     def running(self) -> list[tuple[int, float]]:
-        """Return number and deadline of the calls that are at the upstream."""
+        """Return ticket number and deadline of the running calls."""
         return [(each, t.deadline) for each, t in self._by_id.items() if t.running]
--- a/foldhoist/delivery/upstream_status.py
+++ b/foldhoist/delivery/upstream_status.py
@@ -1,4 +1,4 @@
-"""What an owner knows of its upstream: announced, leaving, failing, slow."""
+"""What an owner knows of its upstream: announcement, state, pace, error share."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
     from foldhoist.schema.messages import Announced, Load
 
 ERROR_SMOOTHING = 0.1
-"""Weight of the newest answer in the share of errors."""
+"""Weight of the newest result in the moving average of errors."""
 USUAL_PACE = 100
-"""Pace of an upstream that works as usual, percent."""
+"""Pace of an upstream at its usual speed, percent."""
 PACE_KEPT_MS = 2000
-"""While the pace is watched, what was told holds this long without another word, milliseconds.
+"""How long a reported pace stays valid while the pace is sampled, milliseconds.
 
-Ingresses that have had no call here for as long are not told of changes.
+Changes are not reported to ingresses without calls here for as long.
 """
 REPLACED = "upstream-replaced"
-"""Why calls are refused while another life of an upstream answers at the address.
+"""Reason of refusals while another incarnation of an upstream answers at the address.
 
-None that is offered there will run, but each is an arrival, which the retry budget pays for.
+It would reject every call, and each attempt would use up retry budget.
 """
 EVACUATED = "data-centre-evacuated"
-"""Why calls are refused while an operator has the data centre evacuated."""
+"""Reason of refusals while the data centre is evacuated."""
 LEAVING_QUEUE_S = 0.8
-"""Calls that wait when the upstream begins to leave may still start for this long, seconds."""
+"""How long waiting calls may still start after the upstream announces that it leaves, seconds."""
 
 
 class UpstreamStatus:
-    """The upstream as its owner sees it; times are monotonic seconds."""
+    """State of one upstream, as announced and observed; times are monotonic seconds."""
 
     def __init__(self) -> None:
         self.state = "warm"
@@ -51,12 +51,12 @@
 
     @property
     def leaving(self) -> bool:
-        """Return whether the upstream takes no new work."""
+        """Return whether any source reports that the upstream is leaving."""
         return bool(self.leaving_sources)
 
     @property
     def refusal(self) -> str:
-        """Return why an upstream that takes no new work is not offered a call."""
+        """Return the reason with which a leaving upstream's calls are refused."""
         for reason in (REPLACED, EVACUATED):
             if reason in self.leaving_sources:
                 return reason
@@ -64,14 +64,14 @@
 
     @property
     def instance(self) -> str:
-        """Return the name by which the upstream is called, empty if it has none.
+        """Return the upstream's instance name, empty if it has not announced itself.
 
-        Another life may have the same; only what it announces tells them apart.
+        Names are not unique: another incarnation may have the same one.
         """
         return self.upstream["instance"] if self.upstream is not None else ""
 
     def set_state(self, state: str) -> bool:
-        """Take in a state that was seen; returns whether it is news. Who leaves stays leaving."""
+        """Set the observed state unless the upstream is leaving; returns whether it changed."""
         if self.leaving_sources.get("upstream"):
             return False
         if state == "leaving":
@@ -80,12 +80,12 @@
         return before != state
 
     def is_new_incarnation(self, upstream: Announced) -> bool:
-        """Return whether this is another life than the one known."""
+        """Return whether the announcement is of another incarnation than the last one."""
         before = self.upstream
         return before is None or not life_of(before).is_same(life_of(upstream))
 
     def announce(self, now: float, upstream: Announced) -> bool:
-        """Take in what it says of itself; returns whether it runs another service than before."""
+        """Apply an announcement; returns whether the upstream changed its service."""
         before = self.upstream
         new_incarnation = self.is_new_incarnation(upstream)
         self.upstream = upstream
@@ -96,21 +96,21 @@
             self.shedding = Shedding()
             self.leaving_sources.pop("upstream", None)
             self.leaving_sources.pop(REPLACED, None)
-            # The leaving of the life before binds that life alone.
+            # The deadline applied to the previous incarnation only.
             self.last_start_at = float("inf")
         if upstream["state"] != "ready":
             self.last_start_at = min(self.last_start_at, now + LEAVING_QUEUE_S)
         return before is not None and before["service"] != upstream["service"]
 
     def set_leaving(self, source: str) -> bool:
-        """Take in that `source` says that it is leaving; returns whether that is news."""
+        """Add a source that reports the upstream as leaving; returns whether it is a new one."""
         if self.leaving_sources.get(source):
             return False
         self.leaving_sources[source] = True
         return True
 
     def clear_leaving(self, source: str) -> bool:
-        """Take back what `source` said; returns whether it had said so."""
+        """Remove a source; returns whether it had reported the upstream as leaving."""
         if not self.leaving_sources.pop(source, False):
             return False
         if not self.leaving_sources:
@@ -118,7 +118,7 @@
         return True
 
     def answered(self, status: int) -> None:
-        """Count an answer."""
+        """Count a complete answer; one of a shedding or cold upstream makes it warm."""
         failed = 1.0 if status >= 500 else 0.0
         self.errors += ERROR_SMOOTHING * (failed - self.errors)
         self._answered_any = True
@@ -126,11 +126,11 @@
             self.state = "warm"
 
     def failed(self) -> None:
-        """Count a call without a whole answer."""
+        """Count a call without a complete answer as an error."""
         self.errors += ERROR_SMOOTHING * (1.0 - self.errors)
 
     def take_pace_change(self) -> bool:
-        """Return whether the pace is another one than was last told; it counts as told then."""
+        """Return whether the pace changed since the last report, and mark it as reported if so."""
         if not self.pace:
             return False
         if not is_change(self.pace, self._reported_pace or USUAL_PACE):
@@ -139,7 +139,7 @@
         return True
 
     def load(self, queue: SlotQueue | DueQueue) -> Load:
-        """Return the load as it is now."""
+        """Return the current load, as sent to ingresses."""
         load: Load = {
             "busy": queue.busy,
             "queued": queue.queued,
--- a/foldhoist/delivery/verdict.py
+++ b/foldhoist/delivery/verdict.py
@@ -1,4 +1,4 @@
-"""The verdict: what became of a request, and whether it may have run."""
+"""Verdicts: the outcome of a request, and whether it may have run."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Response(NamedTuple):
-    """A whole HTTP answer; header values are raw bytes."""
+    """A complete HTTP response; header names and values are raw bytes."""
 
     status: int
     headers: Headers
@@ -16,13 +16,13 @@
 
 
 class Answered(NamedTuple):
-    """The upstream answered, whole."""
+    """The upstream sent a complete response."""
 
     response: Response
 
 
 class NotRun(NamedTuple):
-    """The request certainly did not run; asking again makes sense after `retry_after_s` seconds."""
+    """The request did not run; it may be retried after `retry_after_s` seconds."""
 
     reason: str
     retry_after_s: float = 1.0
@@ -30,7 +30,7 @@
 
 
 class MayHaveRun(NamedTuple):
-    """The request was dispatched and no whole answer came back."""
+    """The request was dispatched, but no complete response came back."""
 
     reason: str
     status: int = 502
@@ -40,7 +40,7 @@
 
 
 def verdict_name(verdict: Verdict) -> str:
-    """Return the name that callers see in the verdict header."""
+    """Return the value of the verdict header."""
     match verdict:
         case Answered():
             return "answered"
