--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -291,7 +291,7 @@
             tickets = [call.ticket for call in lost]
             known = ", ".join(self.owner.tickets.log_labels(tickets))
             logger.warning("upstream ended with {} calls at work: {}", len(lost), known)
-            self._carry_out(self.owner.upstream_ended(self._loop.time(), tickets))
+            self._carry_out(self.owner.upstream_crashed(self._loop.time(), tickets))
             self._look_for_upstream()
         for call in lost:
             self._take_result(call.ticket, call.result)
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -61,7 +61,7 @@
 QUEUE_PER_SLOT = 3
 """Calls that may wait for each slot of an upstream that announces itself."""
 SERVER_ERROR = 500
-"""Answers with this status or above are no evidence that a call does not crash the upstream."""
+"""Answers from this status on do not show that the upstream can complete a call."""
 
 
 class Owner:
@@ -104,7 +104,7 @@
     # Events, as reported by the tasks
 
     def hello(self, now: float, link: int, hello: Hello) -> list[Action]:
-        """Accept a connection with a new epoch and close the one it replaces; else close this one."""
+        """Accept a connection with a newer epoch and close the one it replaces, or refuse it."""
         handshake = self._peers.connected(link, hello)
         if not handshake.accepted:
             self.count.fenced += 1
@@ -132,9 +132,9 @@
         if rejection is not None:
             return [self._endings.refused_at_door(peer, req, *rejection)]
         if req["key"]:
-            early = self._claims.claim(now, wall_ms, peer, req, self.load())
-            if early is not None:
-                return early
+            reply = self._claims.claim(now, wall_ms, peer, req, self.load())
+            if reply is not None:
+                return reply
         return self._admit(now, peer, req)
 
     def withdraw(self, now: float, link: int, message: Withdraw) -> list[Action]:
@@ -163,11 +163,11 @@
         return [SendTo(link, frame) for frame in self._endings.fates(peer, message["seqs"])]
 
     def finished(self, now: float, ticket_id: int, result: Result) -> list[Action]:
-        """Handle the result of a call that ran at the upstream."""
+        """Handle the result of a call that was started at the upstream."""
         ticket = self.tickets.get(ticket_id)
         if ticket is None:
             return []
-        served = now - ticket.started
+        served_s = now - ticket.started
         match result:
             case Whole():
                 self.status.answered(result.status)
@@ -176,10 +176,14 @@
                     self._cold.answered()
                     reports += self._reports.crashes(self.quarantine.answered(now, ticket.identity))
                 reports += self._shed_guard.answered(ticket.started)
-                self._record_concurrency(now, ticket, served)
-                started = self._apply(now, self.queue.release(now, served))
+                self._record_concurrency(now, ticket, served_s)
+                started = self._apply(now, self.queue.release(now, served_s))
                 started += self._update_slots(now)
-                return [*self._endings.answered(now, ticket_id, result, served), *started, *reports]
+                return [
+                    *self._endings.answered(now, ticket_id, result, served_s),
+                    *started,
+                    *reports,
+                ]
             case Shed():
                 self.status.state = "shedding"
                 reports = self._shed_guard.shed(now)
@@ -196,7 +200,7 @@
                 ran = "maybe" if result.sent else "no"
                 return [*self._endings.refused(ticket_id, ran, result.reason, 0.5), *started]
 
-    def upstream_ended(self, now: float, tickets: list[int]) -> list[Action]:
+    def upstream_crashed(self, now: float, tickets: list[int]) -> list[Action]:
         """Handle a crash of the upstream while these calls were running.
 
         The calls are not suspected if a cold upstream had received more calls than it can take.
@@ -205,11 +209,11 @@
         if self._cold.is_overloaded(now):
             self.count.overloaded += 1
             return []
-        return self._quarantined.upstream_ended(now, tickets)
+        return self._quarantined.upstream_crashed(now, tickets)
 
     def learn_crashes(self, now: float, suspects: list[Suspect]) -> list[Action]:
         """Merge what another daemon knows of calls that crash upstreams."""
-        return self._quarantined.learned(now, suspects)
+        return self._quarantined.merge(now, suspects)
 
     def sampled(self, now: float, sample: Sample) -> list[Action]:
         """Handle a sample of the upstream's state; reports changes to ingresses."""
--- a/foldhoist/delivery/quarantined_calls.py
+++ b/foldhoist/delivery/quarantined_calls.py
@@ -33,7 +33,7 @@
         self._waiting = waiting
         self._count = count
 
-    def upstream_ended(self, now: float, ticket_ids: list[int]) -> list[Action]:
+    def upstream_crashed(self, now: float, ticket_ids: list[int]) -> list[Action]:
         """Record a crash of the upstream while these calls were running.
 
         The crash is reported before the calls are refused, so that an ingress has counted it before
@@ -44,7 +44,7 @@
         held = [row["call"] for row in changed if self._quarantine.held_s(now, row["call"])]
         return [*self._reports.crashes(changed), *self._quarantine_calls(held)]
 
-    def learned(self, now: float, suspects: list[Suspect]) -> list[Action]:
+    def merge(self, now: float, suspects: list[Suspect]) -> list[Action]:
         """Merge what another daemon knows of calls that crash upstreams."""
         return self._quarantine_calls(self._quarantine.learned(now, suspects))
 
--- a/tests/unit/delivery/test_owner.py
+++ b/tests/unit/delivery/test_owner.py
@@ -65,7 +65,7 @@
     return {**plain, **fields}
 
 
-def said(actions: list[Any]) -> list[tuple[int, str, Any]]:
+def sent_results(actions: list[Any]) -> list[tuple[int, str, Any]]:
     found = []
     for action in actions:
         if isinstance(action, SendTo):
@@ -74,7 +74,7 @@
     return found
 
 
-def test_a_newer_connection_fences_the_older_one() -> None:
+def test_newer_connection_replaces_the_older_one() -> None:
     owner = make()
     assert CloseLink(1) in owner.hello(0.1, 2, hello("in-1", 2))
     assert owner.dispatch(0.2, 0, 1, dispatch(1)) == []
@@ -82,16 +82,16 @@
     assert owner.count.fenced == 2
 
 
-def test_what_never_arrived_did_not_run_and_what_was_forgotten_may_have() -> None:
+def test_unknown_call_did_not_run_and_one_with_a_dropped_result_may_have() -> None:
     owner = make()
-    assert said(owner.fate(0.1, 1, {"seqs": [7]})) == [(7, "Refusal", "no")]
+    assert sent_results(owner.fate(0.1, 1, {"seqs": [7]})) == [(7, "Refusal", "no")]
     for seq in range(1, peers_module.MAX_KEPT_RESULTS + 10):
         (start,) = owner.dispatch(0.2, 0, 1, dispatch(seq))
         assert isinstance(start, StartCall)
         owner.finished(0.3, start.ticket, ANSWER)
-    assert said(owner.fate(0.4, 1, {"seqs": [1]})) == [(1, "Refusal", "maybe")]
+    assert sent_results(owner.fate(0.4, 1, {"seqs": [1]})) == [(1, "Refusal", "maybe")]
     newest = peers_module.MAX_KEPT_RESULTS + 9
-    assert said(owner.fate(0.4, 1, {"seqs": [newest]})) == [(newest, "Answer", "")]
+    assert sent_results(owner.fate(0.4, 1, {"seqs": [newest]})) == [(newest, "Answer", "")]
 
 
 def test_results_kept_for_all_ingresses_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -107,7 +107,7 @@
     assert sum(peer.kept_bytes for peer in owner._peers.values()) <= 20_000
 
 
-def test_acknowledged_results_go() -> None:
+def test_acknowledged_results_are_dropped() -> None:
     owner = make()
     (start,) = owner.dispatch(0.2, 0, 1, dispatch(1))
     assert isinstance(start, StartCall)
@@ -116,23 +116,23 @@
     assert len(owner._peers["in-1"].kept) == 0
 
 
-def test_a_waiting_call_that_is_withdrawn_did_not_run_a_running_one_is_cancelled() -> None:
+def test_withdrawn_call_is_refused_while_waiting_and_cancelled_while_running() -> None:
     owner = make(slots=1)
     (start,) = owner.dispatch(0.1, 0, 1, dispatch(1))
     assert owner.dispatch(0.1, 0, 1, dispatch(2)) == []
-    assert said(owner.withdraw(0.2, 1, {"seq": 2})) == [(2, "Refusal", "no")]
+    assert sent_results(owner.withdraw(0.2, 1, {"seq": 2})) == [(2, "Refusal", "no")]
     assert isinstance(start, StartCall)
     assert owner.withdraw(0.2, 1, {"seq": 1}) == [CancelCall(start.ticket)]
     ended = owner.finished(0.3, start.ticket, Broken(True, "cancelled"))
-    assert said(ended) == [(1, "Refusal", "maybe")]
+    assert sent_results(ended) == [(1, "Refusal", "maybe")]
 
 
-def test_a_call_that_never_left_for_the_upstream_did_not_run() -> None:
+def test_call_that_was_not_sent_to_the_upstream_did_not_run() -> None:
     owner = make()
     (start,) = owner.dispatch(0.1, 0, 1, dispatch(1))
     assert isinstance(start, StartCall)
     ended = owner.finished(0.2, start.ticket, Broken(False, "upstream-unreachable"))
-    assert said(ended) == [(1, "Refusal", "no")]
+    assert sent_results(ended) == [(1, "Refusal", "no")]
 
 
 def reached(actions: list[Any]) -> list[bool]:
@@ -140,8 +140,8 @@
     return [frame.body.get("reached", False) for frame in frames if frame.kind == "Refusal"]
 
 
-def test_a_refusal_tells_whether_the_call_was_at_the_upstream() -> None:
-    for result, was_there in (
+def test_refusal_states_whether_the_upstream_received_the_call() -> None:
+    for result, received in (
         (Shed(0.1), True),
         (Replaced(), True),
         (Broken(False, "upstream-unreachable"), False),
@@ -149,21 +149,14 @@
         owner = make()
         (start,) = owner.dispatch(0.1, 0, 1, dispatch(1))
         assert isinstance(start, StartCall)
-        assert reached(owner.finished(0.2, start.ticket, result)) == [was_there]
+        assert reached(owner.finished(0.2, start.ticket, result)) == [received]
     owner = make()
     owner.set_leaving("drain")
     assert reached(owner.dispatch(0.1, 0, 1, dispatch(2))) == [False]
 
 
-def test_an_address_that_answers_for_another_life_gets_no_more_calls_until_it_is_announced() -> (
-    None
-):
-    """Symptom: calls were refused that another upstream could have run.
-
-    Sequence: another life of an upstream answered at the address; the owner went on offering calls
-    there. Cause: each was an arrival, paid from the retry budget, which was soon used up: of six
-    calls 60 ms apart one was answered.
-    """
+def test_replaced_upstream_gets_no_calls_until_the_new_incarnation_is_announced() -> None:
+    """Guards against using up the retry budget on calls that another incarnation rejects."""
     owner = make()
     owner.announce(0.0, announced(instance="one"))
     (start,) = owner.dispatch(0.1, 0, 1, dispatch(1))
@@ -180,18 +173,18 @@
     assert not owner.leaving
 
 
-def test_an_upstream_that_announces_itself_again_after_a_word_of_another_gets_calls() -> None:
+def test_upstream_gets_calls_again_once_it_is_no_longer_replaced() -> None:
     owner = make()
     owner.announce(0.0, announced(instance="one"))
     (start,) = owner.dispatch(0.1, 0, 1, dispatch(1))
     assert isinstance(start, StartCall)
     owner.finished(0.2, start.ticket, Replaced())
     assert owner.leaving
-    assert len(said(owner.clear_leaving(REPLACED))) == 1
+    assert len(sent_results(owner.clear_leaving(REPLACED))) == 1
     assert isinstance(owner.dispatch(0.3, 0, 1, dispatch(2))[-1], StartCall)
 
 
-def test_waiting_calls_of_an_ingress_that_is_gone_are_dropped_and_it_can_learn_so() -> None:
+def test_waiting_calls_of_a_lost_ingress_are_dropped_and_reported_as_not_run() -> None:
     owner = make(slots=1)
     owner.dispatch(0.1, 0, 1, dispatch(1))
     owner.dispatch(0.1, 0, 1, dispatch(2, budget_ms=60_000))
@@ -199,14 +192,14 @@
     owner.tick(5.0)
     assert owner.queue.queued == 0
     owner.hello(5.1, 2, hello("in-1", 2))
-    assert said(owner.fate(5.2, 2, {"seqs": [2]})) == [(2, "Refusal", "no")]
+    assert sent_results(owner.fate(5.2, 2, {"seqs": [2]})) == [(2, "Refusal", "no")]
 
 
-def test_leaving_by_any_source_refuses_and_tells_and_one_taken_back_leaves_the_others() -> None:
+def test_upstream_is_leaving_until_every_source_is_cleared() -> None:
     owner = make()
-    assert len(said(owner.set_leaving("host-list"))) == 1
+    assert len(sent_results(owner.set_leaving("host-list"))) == 1
     owner.set_leaving("drain")
-    assert said(owner.dispatch(0.1, 0, 1, dispatch(1))) == [(1, "Refusal", "no")]
+    assert sent_results(owner.dispatch(0.1, 0, 1, dispatch(1))) == [(1, "Refusal", "no")]
     owner.clear_leaving("host-list")
     assert owner.leaving
     owner.clear_leaving("drain")
@@ -214,44 +207,44 @@
 
 
 def reported_slots(actions: list[Any]) -> list[tuple[int, int]]:
-    """Return the connections that were told of slots, and how many."""
+    """Return connection and slots of each load report."""
     sent = [each for each in actions if isinstance(each, SendTo) and each.frame.kind == "Report"]
     return [(each.link, cast("Any", each.frame.body)["load"]["slots"]) for each in sent]
 
 
-def test_an_ingress_that_came_early_is_told_the_slots_when_they_become_known() -> None:
-    """Or it takes the upstream for one with a single slot, and sends its calls elsewhere."""
+def test_changed_slots_are_reported_to_connected_ingresses() -> None:
+    """Guards against ingresses that assume a single slot and send their calls elsewhere."""
     owner = make(slots=1)
     owner.hello(0.0, 2, hello("in-2", 1))
     assert reported_slots(owner.reshape(0.1, Shape(12, 10, 0, 1))) == [(1, 12), (2, 12)]
     assert owner.reshape(0.2, Shape(12, 20, 0, 1)) == []
 
 
-def test_an_ingress_is_told_the_slots_that_an_upstream_announces() -> None:
+def test_announced_slots_are_reported() -> None:
     owner = make(slots=1)
-    told = owner.announce(0.1, announced(slots=10))
-    assert reported_slots(told) == [(1, 10)]
+    actions = owner.announce(0.1, announced(slots=10))
+    assert reported_slots(actions) == [(1, 10)]
     assert owner.announce(0.2, announced(slots=10)) == []
 
 
-def test_an_ingress_is_told_when_the_last_slots_turn_out_to_be_worth_nothing() -> None:
+def test_slots_lowered_by_the_concurrency_limit_are_reported() -> None:
     owner = make(slots=1)
     owner.announce(0.1, announced(slots=5))
-    now, seq, told = 1.0, 0, []
-    while not told:
-        for beside in (1, 1, 1, 1, 5):
+    now, seq, changes = 1.0, 0, []
+    while not changes:
+        for concurrent in (1, 1, 1, 1, 5):
             starts = []
-            for _ in range(beside):
+            for _ in range(concurrent):
                 seq += 1
                 starts += owner.dispatch(now, 0, 1, dispatch(seq))
-            now += 0.1 if beside == 1 else 0.3
+            now += 0.1 if concurrent == 1 else 0.3
             for start in starts:
-                told += reported_slots(owner.finished(now, start.ticket, Whole(200, [], b"")))
+                changes += reported_slots(owner.finished(now, start.ticket, Whole(200, [], b"")))
         assert seq < 1000
-    assert told[0] == (1, 4)
+    assert changes[0] == (1, 4)
 
 
-def test_waiting_calls_start_when_there_are_more_slots() -> None:
+def test_waiting_calls_start_when_slots_are_added() -> None:
     owner = make(slots=1)
     owner.dispatch(0.1, 0, 1, dispatch(1))
     assert owner.dispatch(0.1, 0, 1, dispatch(2)) == []
@@ -260,15 +253,17 @@
     assert owner.queue.queued == 0
 
 
-def test_a_change_of_pace_is_told_to_the_newest_users_and_not_to_all() -> None:
+def test_pace_change_is_reported_to_the_most_recent_ingresses_only() -> None:
     owner = make()
     for link in range(2, MAX_PACE_REPORTS + 10):
         owner.hello(0.0, link, hello(f"in-{link}", 1))
         (start,) = owner.dispatch(link / 100, 0, link, dispatch(1))
         assert isinstance(start, StartCall)
         owner.finished(link / 100, start.ticket, Whole(200, [], b"", 100))
-    told = [action.link for action in owner.sampled(1.0, Sample(500)) if isinstance(action, SendTo)]
-    assert told == list(range(MAX_PACE_REPORTS + 9, 9, -1))
+    links = [
+        action.link for action in owner.sampled(1.0, Sample(500)) if isinstance(action, SendTo)
+    ]
+    assert links == list(range(MAX_PACE_REPORTS + 9, 9, -1))
     assert owner.sampled(1.1, Sample(510)) == []
     assert owner.sampled(1.0 + PACE_KEPT_MS / 1000, Sample(100)) == []
 
@@ -286,13 +281,13 @@
     return {**plain, **fields}
 
 
-def test_bodies_at_an_owner_are_bounded_and_the_refused_call_did_not_run() -> None:
+def test_call_whose_body_exceeds_the_memory_limit_is_refused_as_not_run() -> None:
     bodies = HeldBytes(100_000)
     owner = Owner("depo-1", "depo", Shape(1, 10, 0, 1), 600.0, bodies=bodies)
     owner.hello(0.0, 1, hello("in-1", 1))
     owner.dispatch(0.0, 0, 1, dispatch(1, body=b"x" * 60_000))
     owner.dispatch(0.0, 0, 1, dispatch(2, body=b"x" * 30_000))
-    assert said(owner.dispatch(0.0, 0, 1, dispatch(3, body=b"x" * 30_000))) == [
+    assert sent_results(owner.dispatch(0.0, 0, 1, dispatch(3, body=b"x" * 30_000))) == [
         (3, "Refusal", "no")
     ]
     assert owner.refusals.take()[-1].reason == "bodies-full"
@@ -304,8 +299,8 @@
     assert owner.calls == 0
 
 
-def test_a_leaving_binds_no_later_life_at_the_address() -> None:
-    """Calls were refused for good 0.8 s after the leaving, whatever began there later."""
+def test_new_incarnation_is_not_leaving_because_the_previous_one_was() -> None:
+    """Guards against refusing the new incarnation's calls by the previous one's deadline."""
     owner = make()
     upstream = {"instance": "i-1", "service": "depo", "slots": 4, "sequence": 1, "cold_ms": 0}
     for now, born_ms, state in ((0.0, 1000, "ready"), (1.0, 1000, "leaving"), (9.0, 9000, "ready")):
@@ -318,19 +313,19 @@
     return [each.frame.kind for each in actions if isinstance(each, SendTo)]
 
 
-def test_who_may_send_a_call_again_hears_of_the_crash_before_its_refusal() -> None:
+def test_crash_is_reported_before_the_refusal_of_its_calls() -> None:
     owner = make()
     (started,) = owner.dispatch(0.0, 0, 1, dispatch(1))
-    told = owner.upstream_ended(0.1, [started.ticket])
-    told += owner.finished(0.1, started.ticket, Broken(True, "upstream-connection-lost"))
-    assert kinds(told) == ["Crashes", "Refusal"]
-    (suspect,) = told[0].frame.body["suspects"]
+    actions = owner.upstream_crashed(0.1, [started.ticket])
+    actions += owner.finished(0.1, started.ticket, Broken(True, "upstream-connection-lost"))
+    assert kinds(actions) == ["Crashes", "Refusal"]
+    (suspect,) = actions[0].frame.body["suspects"]
     assert suspect["crashes"]
     assert owner.count.crashes == 1
 
 
-def test_calls_that_end_upstreams_are_refused_at_the_door_while_waiting_and_at_work() -> None:
-    """Learned from another daemon while one is at work here and one waits."""
+def test_quarantined_calls_are_refused_on_arrival_and_waiting_and_cancelled_running() -> None:
+    """The crashes come from another daemon, while one call runs and one waits."""
     owner = make(slots=1)
     (started,) = owner.dispatch(0.0, 0, 1, dispatch(1, repeatable=True))
     assert owner.dispatch(0.0, 0, 1, dispatch(2, repeatable=True)) == []
@@ -339,12 +334,12 @@
     actions = owner.learn_crashes(0.1, [cast("Any", row)])
     assert Hold([call]) in actions
     assert CancelCall(started.ticket, HELD) in actions
-    assert said(actions) == [(2, "Refusal", "no")]
-    assert said(owner.dispatch(0.2, 0, 1, dispatch(3))) == [(3, "Refusal", "no")]
-    assert said(owner.dispatch(0.2, 0, 1, dispatch(4, path="/depo/y"))) == []
+    assert sent_results(actions) == [(2, "Refusal", "no")]
+    assert sent_results(owner.dispatch(0.2, 0, 1, dispatch(3))) == [(3, "Refusal", "no")]
+    assert sent_results(owner.dispatch(0.2, 0, 1, dispatch(4, path="/depo/y"))) == []
 
 
-def test_a_call_at_work_that_may_not_be_repeated_keeps_its_chance_of_an_answer() -> None:
+def test_running_call_that_is_not_repeatable_is_not_cancelled_by_quarantine() -> None:
     owner = make()
     (started,) = owner.dispatch(0.0, 0, 1, dispatch(1))
     call = owner.tickets[started.ticket].identity
@@ -352,15 +347,15 @@
     assert owner.learn_crashes(0.1, [cast("Any", row)]) == [Hold([call])]
 
 
-def test_an_ingress_that_connects_is_told_which_calls_end_upstreams() -> None:
+def test_connecting_ingress_receives_the_suspected_calls() -> None:
     owner = make()
     row = {"call": "x", "crashes": ["a/1", "b/1"], "refuted": [], "age_ms": 0}
     owner.learn_crashes(0.1, [cast("Any", row)])
     assert kinds(owner.hello(0.2, 2, hello("in-2", 1))) == ["Report", "Crashes"]
 
 
-def test_an_answer_with_an_error_refutes_no_crash() -> None:
-    """An upstream that gives up at the deadline has not shown that it can run the call."""
+def test_server_error_does_not_refute_a_crash() -> None:
+    """A 504 does not show that the upstream can run the call to its end."""
     owner = make()
     for seq, status in ((1, 504), (2, 200)):
         (started,) = owner.dispatch(0.0, 0, 1, dispatch(seq))
--- a/tests/unit/delivery/test_owner_cold.py
+++ b/tests/unit/delivery/test_owner_cold.py
@@ -1,8 +1,6 @@
 """What an owner does while its upstream is cold, and after an evacuation.
 
-After all hosts had lost power, five of the six upstreams of a service ended within 0.6 s, each cold
-and with 24 calls sent in a second where 8 are borne. A call that many callers had sent was at work
-on two of them, and 69 daemons refused it for 10 minutes. It had ended nothing: the load had.
+Guards against quarantining calls for crashes that overload of a cold upstream has caused.
 """
 
 from __future__ import annotations
@@ -23,7 +21,7 @@
     from foldhoist.schema.messages import Announced
 
 RATE = ColdRate(8.0, 3.0)
-"""What the upstreams of these tests bear."""
+"""Call rate of the cold upstreams in these tests."""
 
 
 def make(name: str, quarantine: Quarantine) -> Owner:
@@ -47,7 +45,7 @@
 
 
 def send(owner: Owner, now: float, calls: int) -> list[int]:
-    """Send the same call some times; return the numbers of those that start."""
+    """Send the same call `calls` times; return the tickets of those that start."""
     started: list[int] = []
     for seq in range(calls):
         number = int(now * 1000) * 100 + seq
@@ -58,37 +56,37 @@
 
 
 def states(actions: list[Action]) -> list[Any]:
-    """Return the states of the upstream that are told."""
-    told = [action.frame.body for action in actions if isinstance(action, SendTo)]
-    return [body["load"]["state"] for body in told if "load" in body]
+    """Return the states of the upstream that are reported."""
+    bodies = [action.frame.body for action in actions if isinstance(action, SendTo)]
+    return [body["load"]["state"] for body in bodies if "load" in body]
 
 
-def test_an_end_by_more_than_it_bears_is_no_evidence_against_calls() -> None:
+def test_crash_of_an_overloaded_cold_upstream_suspects_no_calls() -> None:
     quarantines = [Quarantine("a"), Quarantine("b")]
     for quarantine in quarantines:
         owner = make("depo-1", quarantine)
         owner.announce(0.0, announced())
-        at_work = send(owner, 1.0, 24)
-        assert len(at_work) == 24
+        running = send(owner, 1.0, 24)
+        assert len(running) == 24
         owner.sampled(1.1, Sample(100, 3.0))
-        owner.upstream_ended(1.2, at_work)
+        owner.upstream_crashed(1.2, running)
         assert owner.count.overloaded == 1
         assert not quarantine.rows(1.2, own=True)
-        assert not quarantine.is_suspect(owner.tickets[at_work[0]].identity)
+        assert not quarantine.is_suspect(owner.tickets[running[0]].identity)
 
 
-def test_an_end_within_what_it_bears_still_counts_against_them() -> None:
+def test_crash_of_a_cold_upstream_within_its_rate_suspects_the_running_calls() -> None:
     quarantine = Quarantine("a")
     owner = make("depo-1", quarantine)
     owner.announce(0.0, announced(cold_ms=3000))
-    at_work = send(owner, 1.0, 24)
-    assert len(at_work) == RATE.per_s
-    owner.upstream_ended(1.2, at_work)
+    running = send(owner, 1.0, 24)
+    assert len(running) == RATE.per_s
+    owner.upstream_crashed(1.2, running)
     assert owner.count.overloaded == 0
-    assert quarantine.is_suspect(owner.tickets[at_work[0]].identity)
+    assert quarantine.is_suspect(owner.tickets[running[0]].identity)
 
 
-def test_ingresses_are_told_when_it_turns_cold_and_when_it_is_warm_again() -> None:
+def test_changes_between_cold_and_warm_are_reported() -> None:
     owner = make("depo-1", Quarantine())
     owner.announce(0.0, announced())
     assert states(owner.sampled(1.0, Sample(0, 2.0))) == ["cold"]
@@ -97,7 +95,7 @@
     assert states(owner.tick(3.0)) == ["warm"]
 
 
-def test_after_an_evacuation_it_is_cold_until_it_says_otherwise() -> None:
+def test_upstream_is_assumed_cold_after_an_evacuation_until_sampled() -> None:
     owner = make("depo-1", Quarantine())
     owner.announce(0.0, announced())
     assert states(owner.set_leaving(EVACUATED)) == ["leaving"]
--- a/tests/unit/delivery/test_pieces.py
+++ b/tests/unit/delivery/test_pieces.py
@@ -1,4 +1,4 @@
-"""Large answers in pieces: whole or not at all, and others in between."""
+"""Large answers in pieces: delivered complete or not at all, and interleaved with others."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def sent(fragmenter: Fragmenter, *answers: dict[str, Any]) -> list[Any]:
-    """Return what goes over the connection, in order."""
+    """Return the messages sent over the connection, in order."""
     first = [("Answer", dict(fragmenter.first(each))) for each in answers]
     rest: list[Any] = []
     while (piece := fragmenter.next_piece()) is not None:
@@ -38,7 +38,7 @@
 
 
 @given(st.lists(st.integers(0, 4 * PIECE_BYTES + 3), min_size=1, max_size=5))
-def test_every_answer_comes_whole_and_its_own(sizes: list[int]) -> None:
+def test_every_answer_is_reassembled_unchanged(sizes: list[int]) -> None:
     rng = random.Random(1)
     answers = [answer(seq, rng.randbytes(size)) for seq, size in enumerate(sizes)]
     fragmenter = Fragmenter()
@@ -48,7 +48,7 @@
 
 
 @given(st.integers(0, 30))
-def test_what_the_end_of_a_connection_cuts_off_is_not_handed_on(kept: int) -> None:
+def test_answer_cut_off_by_a_lost_connection_is_not_delivered(kept: int) -> None:
     messages = sent(
         Fragmenter(), answer(1, bytes(5 * PIECE_BYTES)), answer(2, bytes(3 * PIECE_BYTES))
     )
@@ -56,7 +56,7 @@
         assert len(found["body"]) == {1: 5, 2: 3}[found["seq"]] * PIECE_BYTES
 
 
-def test_pieces_of_several_answers_go_by_turns() -> None:
+def test_pieces_of_several_answers_alternate() -> None:
     messages = sent(
         Fragmenter(), answer(1, bytes(20 * PIECE_BYTES)), answer(2, bytes(3 * PIECE_BYTES))
     )
@@ -65,14 +65,14 @@
     assert messages[at][1]["number"] == 2
 
 
-def test_only_large_answers_of_bulk_routes_are_cut() -> None:
+def test_only_large_answers_of_bulk_routes_are_split() -> None:
     fragmenter = Fragmenter()
     for body in (answer(1, bytes(PIECE_BYTES)), answer(2, bytes(9 * PIECE_BYTES), bulk=False)):
         assert fragmenter.first(body) is body
     assert fragmenter.next_piece() is None
 
 
-def test_what_fits_no_answer_breaks_the_connection() -> None:
+def test_unknown_duplicate_and_oversized_pieces_are_protocol_errors() -> None:
     piece: Any = {"number": 1, "last": False, "body": b"x"}
     with pytest.raises(ProtocolError):
         Reassembler(LIMIT).on_piece(piece)
--- a/tests/unit/delivery/test_shed_guard.py
+++ b/tests/unit/delivery/test_shed_guard.py
@@ -1,10 +1,6 @@
-"""An upstream that turns every call away gets single calls, and its ingresses learn it at once.
+"""An upstream that sheds every call gets single trial calls, and ingresses are informed at once.
 
-Symptom: 564 of 611 runs of outer services were lost to nested calls that were turned away.
-Sequence: more than half of an inner service turned all calls away for 8.5 s; its owners noted that
-with the first answer and went on asking. Cause: each such call was an arrival, paid by the retry
-budget, and an idle upstream is the cheapest choice for the next one. Figures: 97 to 166 calls in
-7 s at each of six owners.
+Guards against idle, shedding upstreams attracting calls and using up the retry budget.
 """
 
 from __future__ import annotations
@@ -28,11 +24,11 @@
 SHEDS_S = 8.0
 WORK_S = 0.05
 FEW = 40
-"""Calls that an upstream may get in those 8 s: five a second, where hundreds came."""
+"""Calls that an upstream may get in SHEDS_S: five a second."""
 
 
 class Service:
-    """Some owners with their upstreams, and one ingress's choice among them, in simulated time."""
+    """Owners with their upstreams, and the picker of one ingress, in simulated time."""
 
     def __init__(self, upstreams: int, shedding: set[int], seed: int) -> None:
         self.owners: list[Owner] = []
@@ -52,17 +48,17 @@
             self.owners.append(owner)
             self.picker.linked(str(each), 0.0, True, True)
 
-    def hear(self, now: float, each: int, actions: list[Any]) -> str:
-        """Let the ingress take in what an owner sends; returns how a call ended, if one did."""
+    def deliver(self, now: float, each: int, actions: list[Any]) -> str:
+        """Deliver an owner's actions; returns "refused" if a call was, else an empty string."""
         ended = ""
         for action in actions:
             if isinstance(action, StartCall):
                 self.start(now, each, action)
             elif isinstance(action, SendTo) and action.link == 2:
-                ended = self.take(now, each, action) or ended
+                ended = self.receive(now, each, action) or ended
         return ended
 
-    def take(self, now: float, each: int, action: SendTo) -> str:
+    def receive(self, now: float, each: int, action: SendTo) -> str:
         body: Any = action.frame.body
         match action.frame.kind:
             case "Report":
@@ -82,7 +78,7 @@
         self.running.append((at, each, action.ticket, sheds))
 
     def call(self, now: float) -> None:
-        """Send a call, up to three times."""
+        """Send a call, with up to three attempts."""
         excluded: set[str] = set()
         for _ in range(3):
             choice = self.picker.pick(now, excluded)
@@ -93,7 +89,7 @@
             each = int(choice.name)
             excluded.add(choice.name)
             self.picker.sent(choice.name, self.seq, now)
-            if self.hear(now, each, self.owners[each].dispatch(now, 0, 2, dispatch(self.seq))):
+            if self.deliver(now, each, self.owners[each].dispatch(now, 0, 2, dispatch(self.seq))):
                 self.refused += 1
                 continue
             return
@@ -104,11 +100,11 @@
             self.running.remove(entry)
             _, each, ticket, sheds = entry
             result = Shed(0.1) if sheds else Whole(200, [], b"")
-            self.hear(now, each, self.owners[each].finished(now, ticket, result))
+            self.deliver(now, each, self.owners[each].finished(now, ticket, result))
         for each, owner in enumerate(self.owners):
-            self.hear(now, each, owner.tick(now))
+            self.deliver(now, each, owner.tick(now))
 
-    def play(self, until: float, per_step: float, rng: random.Random) -> None:
+    def run(self, until: float, per_step: float, rng: random.Random) -> None:
         at = 0.0
         while at < until:
             if rng.random() < per_step:
@@ -118,9 +114,9 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_half_of_a_service_that_turns_all_away_gets_single_calls(seed: int) -> None:
+def test_shedding_half_of_a_service_gets_only_trial_calls(seed: int) -> None:
     service = Service(6, {0, 1, 2}, seed)
-    service.play(SHEDS_S, 0.6, random.Random(seed))
+    service.run(SHEDS_S, 0.6, random.Random(seed))
     for each in service.sheds:
         assert service.arrivals[each] <= FEW
     asked = service.answered + service.lost
@@ -128,21 +124,21 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_it_is_used_again_soon_after_that_has_ended(seed: int) -> None:
+def test_upstreams_are_used_again_soon_after_they_stop_shedding(seed: int) -> None:
     service = Service(6, {0, 1, 2}, seed)
-    service.play(SHEDS_S + 2.5, 0.6, random.Random(seed))
+    service.run(SHEDS_S + 2.5, 0.6, random.Random(seed))
     assert all(service.owners[each].load()["state"] == "warm" for each in service.sheds)
 
 
-def test_where_all_turn_away_calls_are_refused_without_an_arrival() -> None:
+def test_calls_are_refused_without_an_attempt_if_all_upstreams_shed() -> None:
     service = Service(4, {0, 1, 2, 3}, 1)
-    service.play(SHEDS_S, 0.6, random.Random(1))
+    service.run(SHEDS_S, 0.6, random.Random(1))
     assert sum(service.arrivals) <= 4 * FEW
-    service.play(SHEDS_S + 4, 0.6, random.Random(2))
+    service.run(SHEDS_S + 4, 0.6, random.Random(2))
     assert service.answered > 0
 
 
-def test_one_that_is_only_full_is_not_taken_for_one_that_turns_all_away() -> None:
+def test_full_upstream_that_answers_some_calls_is_not_taken_to_shed_all() -> None:
     shedding = Shedding()
     for number in range(200):
         now = number / 10
@@ -153,7 +149,7 @@
             shedding.answered(now)
 
 
-def test_an_answer_to_a_call_from_before_says_nothing_of_now() -> None:
+def test_answer_to_a_call_started_before_shedding_began_is_ignored() -> None:
     shedding = Shedding()
     for _ in range(IN_A_ROW):
         shedding.turned_away(1.0)
@@ -164,18 +160,18 @@
     assert shedding.takes(1.1)
 
 
-def test_calls_that_wait_go_elsewhere_and_a_new_life_is_trusted() -> None:
+def test_waiting_calls_are_refused_and_a_new_incarnation_starts_fresh() -> None:
     owner = make(slots=1)
     owner.announce(0.0, announced(slots=1))
     tickets = [owner.dispatch(0.0, 0, 1, dispatch(seq)) for seq in (1, 2, 3, 4)]
     (first,) = tickets[0]
     assert isinstance(first, StartCall)
-    told: list[Any] = owner.finished(0.1, first.ticket, Shed(0.1))
+    actions: list[Any] = owner.finished(0.1, first.ticket, Shed(0.1))
     for seq in range(5, 4 + IN_A_ROW):
-        (start,) = [each for each in told if isinstance(each, StartCall)]
+        (start,) = [each for each in actions if isinstance(each, StartCall)]
         owner.dispatch(0.1, 0, 1, dispatch(seq))
-        told = owner.finished(0.1, start.ticket, Shed(0.1))
-    reasons = [each.frame.body.get("reason") for each in told if isinstance(each, SendTo)]
+        actions = owner.finished(0.1, start.ticket, Shed(0.1))
+    reasons = [each.frame.body.get("reason") for each in actions if isinstance(each, SendTo)]
     assert SHEDS_ALL in reasons
     (refused,) = owner.dispatch(0.11, 0, 1, dispatch(90))
     assert refused.frame.body["reason"] == SHEDS_ALL
@@ -185,7 +181,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_one_that_turns_away_half_by_chance_goes_on_to_be_asked(seed: int) -> None:
+def test_upstream_that_sheds_half_of_its_calls_at_random_stays_in_use(seed: int) -> None:
     shedding, rng = Shedding(), random.Random(seed)
     running: list[tuple[float, float]] = []
     refused = 0
