--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -101,8 +101,6 @@
             self.status, self.tickets, self._quarantined, self._shed_guard
         )
 
-    # Events, as reported by the tasks
-
     def hello(self, now: float, link: int, hello: Hello) -> list[Action]:
         """Accept a connection with a newer epoch and close the one it replaces, or refuse it."""
         handshake = self._peers.connected(link, hello)
@@ -287,8 +285,6 @@
         self.keys.expire(now)
         return actions
 
-    # State for other components
-
     @property
     def leaving(self) -> bool:
         """Return whether the upstream takes no new calls."""
@@ -322,8 +318,6 @@
         """Return the current load."""
         return self._reports.load()
 
-    # Internals
-
     def _update_cold(self, now: float) -> list[Action]:
         """Report a change between cold and warm to every ingress."""
         cold = self._cold.is_cold(now)
