--- a/foldhoist/admission/body_memory.py
+++ b/foldhoist/admission/body_memory.py
@@ -1,26 +1,26 @@
-"""A bound on the bytes of bodies that a daemon holds at once; no I/O."""
+"""Bounds the memory for the bodies that a daemon holds at once; no I/O."""
 
 from __future__ import annotations
 
 DEFAULT_BODY_MEMORY_BYTES = 32 * 1024 * 1024
-"""The bound unless told otherwise, bytes."""
+"""Default limit, bytes."""
 SMALL_BODY_BYTES = 64 * 1024
-"""A body up to this size may use the part of the bound that larger ones leave free."""
+"""Bodies up to this size may use the part of the limit that is reserved for small ones."""
 LARGE_BODY_SHARE = 0.75
-"""Share of the bound up to which larger bodies are taken."""
+"""Share of the limit up to which larger bodies are accepted."""
 
 
 class BodyMemory:
-    """Counts what is held; a few large bodies never keep the small ones out."""
+    """Counts the bytes in use and reserves a part of the limit for small bodies."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.used = 0
 
     def has_room(self, size: int, body_size: int) -> bool:
-        """Return whether more bytes fit, for a body that has this size with them; none always do.
+        """Return whether `size` more bytes fit, for a body of `body_size` bytes including them.
 
-        More than the bound may be held after the bound was lowered.
+        No bytes always fit, even if more than the limit is in use after the limit was lowered.
         """
         if not size:
             return True
@@ -28,9 +28,9 @@
         return self.used + size <= room
 
     def reserve(self, size: int) -> None:
-        """Hold more bytes."""
+        """Count `size` more bytes as used."""
         self.used += size
 
     def release(self, size: int) -> None:
-        """Hold these bytes no longer."""
+        """Count `size` bytes as free again."""
         self.used -= size
--- a/foldhoist/admission/bucket.py
+++ b/foldhoist/admission/bucket.py
@@ -1,4 +1,4 @@
-"""Token buckets: a hard bound on what may be spent."""
+"""Token bucket rate limiter; no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
         self._at = now
 
     def take(self, now: float, amount: float = 1.0) -> bool:
-        """Spend `amount` tokens if they are there; `now` is in seconds, monotonic."""
+        """Take `amount` tokens if the bucket has them; `now` is in seconds, monotonic."""
         self._refill(now)
         if self._tokens < amount:
             return False
@@ -21,7 +21,7 @@
         return True
 
     def wait(self, now: float, amount: float = 1.0) -> float:
-        """Return the seconds until `amount` tokens will be there."""
+        """Return the seconds until the bucket has `amount` tokens, infinity at a rate of 0."""
         self._refill(now)
         if self.rate <= 0:
             return float("inf")
--- a/foldhoist/admission/cold.py
+++ b/foldhoist/admission/cold.py
@@ -1,7 +1,7 @@
-"""How many calls an upstream is given while it is cold; no I/O, no clock.
+"""Limits the rate of calls to a cold upstream; no I/O, no clock.
 
-An upstream that has just started, or that was given nothing for a while, bears few calls a second
-and ends under more. All its calls pass through one owner, which therefore counts for all senders.
+An upstream that has just started, or that had no calls for a while, handles few calls a second and
+crashes under more. All its calls pass through one owner, which therefore counts for all senders.
 """
 
 from __future__ import annotations
@@ -12,34 +12,34 @@
 from foldhoist.admission.ramp import Ramp
 
 WINDOW_S = 1.0
-"""What an upstream bears is counted in any span of this length, seconds: it is told as a rate."""
+"""Shortest window in which the starts of calls are counted, seconds."""
 
 
 SLACK_SHARE = 0.25
-"""Share of the slack that is given to a cold upstream.
+"""Share of the slack that is used for a cold upstream.
 
-The rest is for what an earlier life of the daemon had on its way.
+The rest covers calls that an earlier incarnation of the daemon has sent.
 """
 
 
 class Tolerance(NamedTuple):
-    """What a cold upstream bears: `overage` times its rate, and `slack` calls a second more."""
+    """How far a rate may be exceeded: by the factor `overage`, and by `slack` calls a second."""
 
     overage: float = 1.0
     slack: float = 0.0
 
 
 class ColdRate(NamedTuple):
-    """What a cold upstream of a service bears, as the configuration says.
+    """The rate of calls that a cold upstream of a service handles, from the configuration.
 
-    `per_s` is calls a second, 0 if nothing is known; `period_s` is for how long it is cold.
+    `per_s` is calls a second, 0 if unknown; `period_s` is how long an upstream stays cold, seconds.
     """
 
     per_s: float = 0.0
     period_s: float = 0.0
 
     def with_tolerance(self, tolerance: Tolerance) -> ColdRate:
-        """Return the rate that is used where this much more is borne."""
+        """Return the rate raised by `overage` and by a part of `slack`; an unknown rate stays 0."""
         if not self.per_s:
             return self
         more = tolerance.slack * SLACK_SHARE
@@ -47,11 +47,10 @@
 
 
 class ColdStart:
-    """The starts of calls at one upstream, and until when it is cold; times are monotonic seconds.
+    """Limits the starts of calls at one upstream while it is cold; times are monotonic seconds.
 
-    A window slides over the starts: what it holds is never more than the upstream bears, wherever
-    it begins. A bucket of as many tokens lets nearly twice as many through in the second in which
-    it was full.
+    A sliding window bounds the starts in any span of its length. A token bucket of the same size
+    would allow nearly twice as many in the second after it was full.
     """
 
     def __init__(self) -> None:
@@ -61,10 +60,11 @@
         self._ramp = Ramp()
 
     def set_rate(self, now: float, rate: ColdRate, began: float | None = None) -> None:
-        """Take over what the configuration says.
+        """Set the configured rate.
 
-        The first time, an earlier life of this daemon may have sent all that is borne just before
-        this one `began`.
+        When a rate is first set, a full window of starts at `began` is assumed, the time at which
+        this daemon's process began (`now` if it is None or later): an earlier incarnation may have
+        sent that many just before.
         """
         if not self.rate.per_s and rate.per_s:
             at = now if began is None else min(now, began)
@@ -72,39 +72,42 @@
         self.rate = rate
 
     def reset_on_replacement(self) -> None:
-        """Take in that another life of the upstream stands there: the word of the old one ends."""
+        """Record that another incarnation has replaced the upstream: its cold period ends.
+
+        If the rate is unknown, a ramp begins.
+        """
         self._until = float("-inf")
         if not self.rate.per_s:
-            # Where it is told what is borne, a call at a time would keep that from slow calls.
+            # With a known rate, a ramp as well would keep slow calls below that rate.
             self._ramp.begin()
 
     def record_answer(self) -> None:
-        """Take in that the upstream has answered a call."""
+        """Record that the upstream has answered a call."""
         self._ramp.record_answer()
 
     def usable_slots(self, slots: int) -> int:
-        """Return the calls that it may have at once, of its slots."""
+        """Return how many of its slots may be used now."""
         return self._ramp.usable_slots(slots)
 
     def extend(self, now: float, left_s: float) -> None:
-        """Take in for how long it is cold, by its own word.
+        """Record a report that the upstream stays cold for `left_s` seconds.
 
-        The word may have come late, and it may have turned cold since: a shorter time than the one
-        that is known changes nothing.
+        A time shorter than the known one changes nothing: the report may be old, and the upstream
+        may have turned cold since.
         """
         if left_s > 0.0:
             self._until = max(self._until, now + left_s)
 
     def set_remaining(self, now: float, left_s: float) -> None:
-        """Take in for how long it is cold, as it has answered just now."""
+        """Set for how many seconds the upstream stays cold, from its current answer."""
         self._until = now + left_s
 
     def assume_cold(self, now: float) -> None:
-        """Take it for cold until it says otherwise: it may have turned cold unseen."""
+        """Treat the upstream as cold for a whole period: it may have turned cold unnoticed."""
         self.extend(now, self.rate.period_s)
 
     def is_cold(self, now: float) -> bool:
-        """Return whether it is cold, and what it bears is known."""
+        """Return whether the upstream is cold and its rate is known."""
         return now < self._until and self.rate.per_s > 0.0
 
     def record_start(self, now: float) -> None:
@@ -115,11 +118,11 @@
         self._drop_old_starts(now)
 
     def may_start(self, now: float) -> bool:
-        """Return whether it bears another call now."""
+        """Return whether a call may start now."""
         return self.ready_at(now) <= now
 
     def ready_at(self, now: float, ahead: int = 0) -> float:
-        """Return from when on it bears a call that goes behind `ahead` others."""
+        """Return when a call with `ahead` others before it may start."""
         if not self.is_cold(now):
             return now
         self._drop_old_starts(now)
@@ -127,12 +130,12 @@
         over = ahead + len(self._starts) - max_starts
         if over < 0:
             return now
-        turns, place = divmod(over, max_starts)
-        before = self._starts[place] if place < len(self._starts) else now
-        return min(self._until, before + (turns + 1) * self._window_s)
+        windows, index = divmod(over, max_starts)
+        start = self._starts[index] if index < len(self._starts) else now
+        return min(self._until, start + (windows + 1) * self._window_s)
 
     def is_overloaded(self, now: float) -> bool:
-        """Return whether it is cold and got more than it bears, as when it turned cold unseen."""
+        """Return whether the upstream is cold and has had more calls than a window allows."""
         if not self.is_cold(now):
             return False
         self._drop_old_starts(now)
@@ -140,7 +143,7 @@
 
     @property
     def _window_s(self) -> float:
-        """Return the span in which a whole number of calls is borne, seconds."""
+        """Return the length of the window, seconds; above `WINDOW_S` if `per_s` is below 1."""
         return max(WINDOW_S, _max_starts(self.rate.per_s) / self.rate.per_s)
 
     def _drop_old_starts(self, now: float) -> None:
@@ -149,5 +152,5 @@
 
 
 def _max_starts(per_s: float) -> int:
-    """Return the calls that are borne in a window."""
+    """Return how many calls may start in a window."""
     return max(1, int(per_s * WINDOW_S))
--- a/foldhoist/admission/completion.py
+++ b/foldhoist/admission/completion.py
@@ -1,21 +1,20 @@
-"""Until when a call may start and still be of use, by how long it takes; no I/O, no clock.
+"""The latest useful start of a call and the time to hedge it; no I/O, no clock.
 
-An answer is worth most to its caller while it is on time, something until the caller's deadline,
-and nothing afterwards. Waiting is of use while the work still fits in behind it; what no longer
-fits is refused, so that its caller can go elsewhere.
+A call may wait while it can still be answered on time, or by its deadline if it could not be on
+time from the beginning. After that it is refused, so that its caller can try elsewhere.
 """
 
 from __future__ import annotations
 
 TIME_MARGIN = 1.4
-"""Time that is kept for a call, in times of how long such calls take: some take longer."""
+"""Factor on the expected service time: some calls take longer."""
 
 
 def latest_start(now: float, due: float, deadline: float, expect_s: float) -> float:
-    """Return until when a call may start, in seconds on the clock of `now`.
+    """Return the latest useful start of a call, in seconds on the clock of `now`.
 
-    Until it can no longer be answered when it is `due`. A call that can't be on time from the
-    beginning is of use until its `deadline`.
+    It leaves enough time to answer by `due`, or by `deadline` if that is earlier. A call that
+    can't be answered by `due` even if it starts now may start as long as it can meet `deadline`.
     """
     needed_s = expect_s * TIME_MARGIN
     if now + needed_s <= due:
@@ -24,9 +23,10 @@
 
 
 def hedge_after(objective_s: float, expect_s: float) -> float:
-    """Return when a second attempt still can be on time, seconds after the first; 0 for never.
+    """Return when to send a second attempt, seconds after the first; 0 without an objective.
 
-    While the first attempt is about as old as such calls get, it is the likelier to be first.
+    This is the latest moment at which it can still be on time, but not before the first attempt
+    has taken `TIME_MARGIN` times the expected time.
     """
     if not objective_s:
         return 0.0
--- a/foldhoist/admission/concurrency_limit.py
+++ b/foldhoist/admission/concurrency_limit.py
@@ -14,28 +14,28 @@
     from collections.abc import Collection
 
 SAFE_SHARE = 0.8
-"""Share of the slots up to which every upstream is taken to keep its speed."""
+"""Share of the slots up to which every upstream is assumed to run at full speed."""
 MIN_BASELINE = 8
-"""Answers of a route outside a crowd before one in a crowd is held against them."""
+"""Baseline times of a route that are needed before others are compared with them."""
 MAX_BASELINE = 60
-"""Answers of a route outside a crowd that are kept."""
+"""Baseline times that are kept for a route."""
 LOADED_SAMPLES = 20
-"""Answers in a crowd that are judged together: fewer would often seem slow by chance."""
+"""Answers under load that are evaluated together: fewer would often seem slow by chance."""
 COMPARED_QUANTILE = 0.3
-"""Times are compared at this share of them, from the quickest on.
+"""Quantile at which service times are compared.
 
-Slow spells of a neighbour and waits for nested calls make the others long, in a crowd or not.
+Slow periods of a neighbour and waits for nested calls dominate the higher ones, under load or not.
 """
 MAX_SLOWDOWN = 1.3
-"""An upstream does not keep its speed if calls in a crowd take this many times as long."""
+"""Ratio of the times under load to the baseline above which the limit is reduced."""
 FIRST_REDUCTION_S = 30.0
-"""For so long its last slots are left empty then, seconds; twice as long each time."""
+"""Length of the first reduction, seconds; each further one is twice as long."""
 MAX_REDUCTION_S = 600.0
-"""Longest such time, seconds."""
+"""Longest reduction, seconds."""
 
 
 class ConcurrencyLimit:
-    """The slots of one upstream that are worth using; `now` is in seconds, monotonic."""
+    """How many slots of one upstream to use; `now` is in seconds, monotonic."""
 
     def __init__(self) -> None:
         self.slots = 1
@@ -46,7 +46,7 @@
         self._reduction_s = FIRST_REDUCTION_S
 
     def set_slots(self, slots: int) -> None:
-        """Take over the slots that the upstream has."""
+        """Set the number of slots that the upstream has; a new number discards all samples."""
         if slots == self.slots:
             return
         self.slots = slots
@@ -55,11 +55,11 @@
         self._loaded.clear()
 
     def current(self, now: float) -> int:
-        """Return the slots to use."""
+        """Return the number of slots to use."""
         return self.safe_slots if now < self._reduced_until else self.slots
 
     def record_answer(self, now: float, route: str, concurrent: int, served_s: float) -> None:
-        """Take in the time of an answer to a call that started as one of `concurrent`."""
+        """Record the service time of a call that started as one of `concurrent` running calls."""
         if self.safe_slots == self.slots or served_s <= 0.0:
             return
         baseline = self._baseline.setdefault(route, deque(maxlen=MAX_BASELINE))
@@ -73,9 +73,9 @@
             self._evaluate(now)
 
     def _evaluate(self, now: float) -> None:
-        slower = _quantile(self._loaded)
+        slowdown = _quantile(self._loaded)
         self._loaded.clear()
-        if slower <= MAX_SLOWDOWN:
+        if slowdown <= MAX_SLOWDOWN:
             return
         self._reduced_until = now + self._reduction_s
         self._reduction_s = min(MAX_REDUCTION_S, 2 * self._reduction_s)
--- a/foldhoist/admission/decaying_ratio.py
+++ b/foldhoist/admission/decaying_ratio.py
@@ -1,4 +1,4 @@
-"""A ratio of what was total lately, in which older counts weigh less; no I/O, no clock."""
+"""A ratio of counts that decay exponentially; no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class DecayingRatio:
-    """How much was total, and the part of it that is looked for; `now` is in seconds."""
+    """A decaying total and the part of it that has some property; `now` is in seconds."""
 
     __slots__ = ("_at", "_decay_s", "_part", "_total")
 
@@ -17,19 +17,19 @@
         self._part = 0.0
 
     def count(self, now: float, part: float, times: float = 1.0) -> None:
-        """Count one, or one so many times; `part` is how much of it is looked for, 0 to 1."""
+        """Add `times` to the total; `part`, 0 to 1, is the share of it that has the property."""
         self._decay(now)
         self._total += times
         self._part += part * times
 
     def total(self, now: float) -> float:
-        """Return how many were total, older ones less: by 1/e after `decay_s` seconds."""
+        """Return the decayed total: a count weighs 1/e of its value after `decay_s` seconds."""
         self._decay(now)
         return self._total
 
     @property
     def ratio(self) -> float:
-        """Return the part of what was total, 0 to 1; both fade alike."""
+        """Return the share of the total that has the property, 0 to 1; 0 if nothing was counted."""
         return self._part / self._total if self._total else 0.0
 
     def _decay(self, now: float) -> None:
--- a/foldhoist/admission/due.py
+++ b/foldhoist/admission/due.py
@@ -1,8 +1,8 @@
-"""The owner's slots and a queue ordered by when answers are due, for routes with objectives.
+"""The owner's slots and a queue ordered by due time, for routes with objectives; no I/O, no clock.
 
-Calls that can still be on time go first, the one that is due first before the others; calls that
-cannot be on time any more wait behind them. A call that would wait too long is refused at once, so
-that its caller can go elsewhere.
+Calls that can still be on time start first, in order of their due times; calls that can't be on
+time any more start after them. A call that would wait too long is refused on arrival, so that its
+caller can try elsewhere.
 """
 
 from __future__ import annotations
@@ -22,15 +22,16 @@
     from foldhoist.schema.messages import Dispatch
 
 RANK_DELAY_S = 0.02
-"""Each rank counts as if its calls were due this much later, seconds."""
+"""Added to the due time of a call for each priority rank, seconds."""
 
 
 class QueuedCall(NamedTuple):
-    """What a call asks for; times are monotonic seconds, `expect_s` how long it takes.
+    """A call that asks for a slot; times are monotonic seconds.
 
-    It waits until `start_by`; a slot that is free then is still taken before the `deadline`. What
-    can't be answered before `on_time_by` goes behind the others; None for when it is `due`.
-    A call of `low_priority` goes behind those that don't.
+    `expect_s` is the expected service time. The call waits until `start_by`; a slot that is free
+    after that is still taken before the `deadline`. Once it can't be answered by `on_time_by`
+    (None: by `due`), it goes behind the calls that can be on time. Among those, the ones of
+    `low_priority` go last.
     """
 
     due: float
@@ -43,7 +44,7 @@
 
     @property
     def order(self) -> tuple[bool, float]:
-        """Return what the queue sorts by."""
+        """Return the sort key in the queue."""
         return self.low_priority, self.due
 
 
@@ -64,20 +65,21 @@
 
     @property
     def queued(self) -> int:
-        """Return the number of calls that wait."""
+        """Return the number of waiting calls."""
         return len(self._waiting)
 
     def queued_call(
         self, now: float, req: Dispatch, start_by: float, deadline: float
     ) -> QueuedCall:
-        """Return what a new call asks for; without an objective it is due at its deadline.
+        """Return a new call with its times and priority; records which service it comes from.
 
-        A nested call has the rank of what it is a part of. One of low priority waits no longer than
-        others: it would only keep what it is a part of in its slot. Calls of a customer that has
-        used up most of its burst yield: what it sends beyond its usual takes no one else's room.
+        Without an objective it is due when its budget ends. Calls of a customer that has used up
+        most of its burst have low priority, and so have calls of a rank that `RefusalRates` puts
+        behind more urgent ones.
 
-        The call is counted for what its route is taken for. A nested call is a part of another
-        one, which is lost if it is refused: it waits longer, and is of use until its deadline.
+        A nested call takes the rank of its parent, whose work is lost if it is refused: it waits
+        longer and counts as on time until its deadline. One of low priority waits no longer than
+        other calls, since it would keep the slot of its parent occupied.
         """
         route = req.get("route", "")
         self._callers.record(route, req.get("caller", ""))
@@ -95,10 +97,11 @@
         return call._replace(start_by=max(start_by, useful), on_time_by=deadline)
 
     def submit(self, now: float, ticket: int, call: QueuedCall) -> Decision:
-        """Decide on a new call: with a slot free, what waits only waits for a faster moment.
+        """Decide on a new call.
 
-        A call that takes such a slot may end late; only one that has to wait is held to being on
-        time, since what it is expected to take may be wrong.
+        A call that finds a free slot starts even if it is expected to be late, since the expected
+        service time may be wrong; it waits only if a slow upstream is likely to speed up soon. A
+        call that has to wait must be able to start by `start_by`.
         """
         if now >= call.deadline:
             return self._refused(now, ticket, call, "deadline-passed", 0.0)
@@ -114,25 +117,28 @@
         return Wait(ticket)
 
     def expected_wait(self, now: float, call: QueuedCall) -> float:
-        """Return the seconds until a new call gets a slot, by what goes before it."""
+        """Return the seconds until a new call gets a slot, by the calls that go before it."""
         ahead = [other for other in self._waiting.values() if other.order <= call.order]
         work_s = sum(other.expect_s for other in ahead)
         slot_s = (work_s + self.service_s) / self.limits.slots
         return max(slot_s, self.cold.ready_at(now, len(ahead)) - now)
 
     def withdraw(self, ticket: int) -> None:
-        """Take a waiting call out of the queue."""
+        """Remove a waiting call from the queue."""
         self._waiting.pop(ticket, None)
 
     def release(self, now: float, served_s: float | None) -> list[Decision]:
-        """Free a slot; `served_s` is the service time if an answer came. Starts waiting calls."""
+        """Free a slot and start waiting calls.
+
+        `served_s` is the service time, None if no answer came.
+        """
         self.busy -= 1
         if served_s is not None:
             self.service_s += SMOOTHING * (served_s - self.service_s)
         return self.advance(now)
 
     def advance(self, now: float) -> list[Decision]:
-        """Start what can be started and refuse what has waited too long."""
+        """Start calls while slots are free; refuse those that would miss their deadline."""
         decisions: list[Decision] = []
         while self._has_room(now):
             ticket = self._next(now)
@@ -147,7 +153,7 @@
         return decisions
 
     def expire(self, now: float) -> list[Decision]:
-        """Refuse every waiting call that may not start any more."""
+        """Refuse every waiting call whose `start_by` has passed."""
         late = [ticket for ticket, call in self._waiting.items() if now >= call.start_by]
         reason, retry_after_s = "no-slot-in-time", self.service_s
         return [
@@ -156,7 +162,7 @@
         ]
 
     def next_at(self, now: float) -> float | None:
-        """Return when a waiting call may not start any more, or may start; None if none waits."""
+        """Return when the next waiting call expires or may start; None if none waits."""
         if not self._waiting:
             return None
         late_at = min(call.start_by for call in self._waiting.values())
@@ -179,21 +185,23 @@
         return Refuse(ticket, reason, retry_after_s)
 
     def _may_start(self, now: float, call: QueuedCall) -> bool:
-        """Return whether the call should start now rather than wait for a faster moment.
+        """Return whether the call should start now rather than wait for a faster upstream.
 
-        A call that starts in a slow spell of the upstream holds its slot for several times as long
-        as one that waits for the end of the spell.
+        A call that starts while the upstream is slow occupies its slot several times as long as one
+        that starts afterwards.
         """
         return not self.pace.is_worth_waiting(now, call.expect_s)
 
     def _next(self, now: float) -> int | None:
-        held: list[tuple[tuple[bool, float], int]] = []
-        found = self._first_on_time(now, held)
-        for entry in held:
+        skipped: list[tuple[tuple[bool, float], int]] = []
+        found = self._first_on_time(now, skipped)
+        for entry in skipped:
             heappush(self._on_time, entry)
         return self._first_late(now) if found is None else found
 
-    def _first_on_time(self, now: float, held: list[tuple[tuple[bool, float], int]]) -> int | None:
+    def _first_on_time(
+        self, now: float, skipped: list[tuple[tuple[bool, float], int]]
+    ) -> int | None:
         while self._on_time:
             order, ticket = heappop(self._on_time)
             call = self._waiting.get(ticket)
@@ -204,11 +212,11 @@
                 continue
             if self._may_start(now, call):
                 return ticket
-            held.append((order, ticket))
+            skipped.append((order, ticket))
         return None
 
     def _first_late(self, now: float) -> int | None:
-        held: list[tuple[float, int]] = []
+        skipped: list[tuple[float, int]] = []
         found: int | None = None
         while self._late and found is None:
             start_by, ticket = heappop(self._late)
@@ -218,7 +226,7 @@
             if self._may_start(now, call):
                 found = ticket
             else:
-                held.append((start_by, ticket))
-        for entry in held:
+                skipped.append((start_by, ticket))
+        for entry in skipped:
             heappush(self._late, entry)
         return found
--- a/foldhoist/admission/nested.py
+++ b/foldhoist/admission/nested.py
@@ -1,24 +1,24 @@
-"""Which routes are called by upstreams and not by outside callers; no I/O.
+"""Detects routes that are called by upstreams and not by outside callers; no I/O.
 
-A call of an upstream is a part of another call: if it is refused, the work on the other one is
-lost. Nothing in the call says so. But outside callers of a route are found beside upstreams of
-every service, while calls of upstreams start beside those of one service only.
+A call of an upstream is a part of another call, whose work is lost if it is refused. The call does
+not say so. But outside callers of a route are found beside upstreams of every service, while calls
+of upstreams start beside those of one service only.
 """
 
 from __future__ import annotations
 
 MIN_CALLS = 15
-"""Calls of a route before it is judged."""
+"""Calls of a route that are needed to classify it."""
 HALVE_AFTER_CALLS = 200
-"""Calls of a route after which older ones count half."""
+"""All counts of a route are halved when their sum exceeds this."""
 SINGLE_CALLER_SHARE = 0.97
-"""Share of a route's calls from one service from which on the route is nested."""
+"""Share of the calls from one service from which on a route has a single caller."""
 
 
 class RouteCallers:
-    """At which services' hosts the calls of each route start, as one owner sees it.
+    """From which services the calls of each route come, as seen by one owner.
 
-    What a route is taken for is judged when a call of it is counted, so that asking costs nothing.
+    A route is classified when a call of it is recorded, so that look-ups are cheap.
     """
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
         self._many_callers: set[str] = set()
 
     def record(self, route: str, caller: str) -> None:
-        """Count a call; `caller` is the service of the host where it started, empty if unsaid."""
+        """Count a call; `caller` is the service of the host where it started, empty if unknown."""
         if not caller:
             return
         counts = self._by_route.setdefault(route, {})
@@ -40,7 +40,10 @@
         self._classify(route, total, max(counts.values()))
 
     def is_nested(self, route: str) -> bool:
-        """Return whether the calls of this route are parts of other calls, as far as is known."""
+        """Return whether the calls of this route are parts of other calls.
+
+        That is assumed if one service makes nearly all of them and another route has many callers.
+        """
         return route in self._single_caller and bool(self._many_callers)
 
     def _classify(self, route: str, total: float, most: float) -> None:
@@ -48,5 +51,5 @@
         self._many_callers.discard(route)
         if total < MIN_CALLS:
             return
-        judged = self._single_caller if most >= SINGLE_CALLER_SHARE * total else self._many_callers
-        judged.add(route)
+        routes = self._single_caller if most >= SINGLE_CALLER_SHARE * total else self._many_callers
+        routes.add(route)
--- a/foldhoist/admission/pace.py
+++ b/foldhoist/admission/pace.py
@@ -1,25 +1,25 @@
-"""Whether a call is done sooner if it waits for its upstream to be fast again; no I/O, no clock.
+"""Decides whether a call ends sooner if it waits for a slow upstream to recover; no I/O, no clock.
 
-How long work takes is settled when it starts: a call that starts while the upstream's neighbours
-are busy keeps its slot several times as long, also after they have fallen quiet.
+The service time is fixed when a call starts: one that starts while the upstream's neighbours are
+busy occupies its slot several times as long, even after they have become idle.
 """
 
 from __future__ import annotations
 
 NORMAL_PACE = 100.0
-"""Pace of an upstream that works as usual, percent."""
+"""Pace of an upstream at its usual speed, percent."""
 SLOW_FACTOR = 1.5
-"""An upstream is in a slow spell from this many times its usual time on."""
+"""An upstream is slow from this multiple of its usual service time on."""
 DEFAULT_SLOW_PERIOD_S = 0.2
-"""Length assumed of a slow spell before any has ended, seconds."""
+"""Assumed length of a slow period before any has ended, seconds."""
 SMOOTHING = 0.1
-"""Weight of the newest spell in the running mean of their lengths."""
+"""Weight of the newest slow period in the moving average of their lengths."""
 MAX_AGE_S = 0.25
-"""A pace that was told longer ago than this says nothing of now, seconds."""
+"""A pace recorded longer ago than this is not used, seconds."""
 
 
 class PaceMonitor:
-    """The pace of one upstream as it is told, and how long its slow spells last.
+    """The pace of one upstream and the mean length of its slow periods.
 
     Times are monotonic seconds.
     """
@@ -31,7 +31,7 @@
         self._slow_period_s = DEFAULT_SLOW_PERIOD_S
 
     def record(self, now: float, pace: int) -> None:
-        """Take in a pace, percent; 0 if none was told."""
+        """Record a reported pace, percent of the usual service time; 0 if there was no report."""
         if not pace:
             return
         self._factor = pace / NORMAL_PACE
@@ -44,10 +44,10 @@
             self._slow_since = None
 
     def is_worth_waiting(self, now: float, usual_s: float) -> bool:
-        """Return whether work that usually takes `usual_s` ends sooner if it starts later.
+        """Return whether a call that usually takes `usual_s` ends sooner if it starts later.
 
-        A spell is taken to last as long again as spells do, or as this one has lasted if that is
-        longer: an upstream that is slow for good is not waited for.
+        The rest of a slow period is estimated as the mean length of such periods, or as the time
+        that this one has lasted if that is longer, so that nobody waits for a lasting slowdown.
         """
         if self._slow_since is None or now - self._recorded_at > MAX_AGE_S:
             return False
--- a/foldhoist/admission/ramp.py
+++ b/foldhoist/admission/ramp.py
@@ -1,33 +1,33 @@
-"""How many calls at once an upstream is given that has just started; no I/O, no clock.
+"""Limits the concurrent calls at an upstream that has just started; no I/O, no clock.
 
-Nobody says what it bears then. Given a call for each of its slots at once, it may end, be back some
-seconds later, and end again.
+Its capacity is unknown then. With a call for each of its slots at once it may crash, restart some
+seconds later, and crash again.
 """
 
 from __future__ import annotations
 
 
 class Ramp:
-    """Room that grows by a call with each answer, from one call at a time.
+    """Number of usable slots, which starts at one and grows by one with each answer.
 
-    With all answers good it doubles in the time of a call. Whoever bears its full share has that
-    after as many answers as it has slots.
+    While all calls are answered it doubles in the time of a call, and reaches all slots after as
+    many answers as there are slots.
     """
 
     def __init__(self) -> None:
-        self._room: int | None = None
+        self._usable: int | None = None
 
     def begin(self) -> None:
-        """Take in that the upstream has just started."""
-        self._room = 1
+        """Start the ramp: the upstream has just started."""
+        self._usable = 1
 
     def record_answer(self) -> None:
-        """Take in that it has answered a call."""
-        if self._room is not None:
-            self._room += 1
+        """Record that the upstream has answered a call."""
+        if self._usable is not None:
+            self._usable += 1
 
     def usable_slots(self, slots: int) -> int:
-        """Return the calls that it may have at once, of its slots."""
-        if self._room is not None and self._room >= slots:
-            self._room = None
-        return slots if self._room is None else self._room
+        """Return how many of its slots may be used now."""
+        if self._usable is not None and self._usable >= slots:
+            self._usable = None
+        return slots if self._usable is None else self._usable
--- a/foldhoist/admission/refusal_rates.py
+++ b/foldhoist/admission/refusal_rates.py
@@ -1,23 +1,23 @@
-"""Which ranks are refused far more often than less urgent ones at one owner; no I/O, no clock."""
+"""Finds ranks that are refused far more often than less urgent ones; no I/O, no clock."""
 
 from __future__ import annotations
 
 from foldhoist.admission.decaying_ratio import DecayingRatio
 
 DECAY_S = 3.0
-"""A decision counts by 1/e after this long, seconds: about ten times a call's work."""
+"""Time constant with which decisions decay, seconds."""
 MIN_DECISIONS = 5.0
-"""Decisions of a rank before it is judged."""
+"""Decayed count of decisions on a rank that is needed to use its refusal rate."""
 RATE_MARGIN = 0.3
-"""A rank yields when a more urgent one is refused a share larger by this.
+"""A rank gets low priority if a more urgent one has a refusal rate higher by more than this.
 
-Calls that yield are mostly parts of others, whose work is lost when they are refused, so where all
-ranks are refused somewhat none is to yield.
+Calls of less urgent ranks are mostly parts of others, whose work is lost when they are refused. So
+small differences are ignored.
 """
 
 
 class RefusalRates:
-    """The share of calls that was refused, by rank; 0 is the most urgent."""
+    """The share of refused calls by priority rank; rank 0 is the most urgent."""
 
     def __init__(self) -> None:
         self._by_rank: dict[int, DecayingRatio] = {}
@@ -30,10 +30,10 @@
         decisions.count(now, float(refused))
 
     def is_low_priority(self, now: float, rank: int) -> bool:
-        """Return whether calls of this rank are to let more urgent ones go first.
+        """Return whether calls of this rank go behind more urgent ones.
 
-        They are while some more urgent rank is refused a far larger share. Strict order would leave
-        the less urgent ones nothing where not all fits.
+        They do while some more urgent rank has a far higher refusal rate. A strict order of ranks
+        would starve the less urgent ones under overload.
         """
         own = self._by_rank.get(rank)
         own_ratio = own.ratio if own is not None else 0.0
--- a/foldhoist/admission/retries.py
+++ b/foldhoist/admission/retries.py
@@ -1,4 +1,4 @@
-"""How many further attempts a daemon may make at a service; no I/O, no clock."""
+"""A daemon's budget for retries at a service; no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class SlackPart(NamedTuple):
-    """One daemon's part of what all together may make beside a share of calls.
+    """One daemon's part of the slack, the retries that all daemons share beside a share of calls.
 
-    It may hold `held` attempts of it, and gains `per_s` a second. What calls earned longer than
-    about `window_s` seconds ago does not count any more. Where `held` is less than one, a part of
-    an attempt is an attempt with that chance, so that all together make as many as they may.
+    The part holds up to `capacity` retries and gains `per_s` a second. Tokens earned beyond that
+    decay with the time constant `window_s`, seconds. With a capacity below one, a fraction of a
+    token allows a retry with that probability, so that the daemons together use the whole slack.
     """
 
     capacity: float
@@ -23,20 +23,17 @@
 
 
 class RetryBudget:
-    """Allows further attempts as a share of calls, with a small reserve for quiet times.
+    """Allows retries as a share of calls, plus a small reserve for times of few calls.
 
     `now` is in seconds, monotonic.
     """
 
     RESERVE = 3.0
-    """Attempts that a budget begins with where daemons share no slack."""
+    """Tokens at the start of a budget without shared slack."""
     CAP = 20.0
-    """Attempts that are held at most there."""
+    """Most tokens of a budget without shared slack."""
     MAX_DEBT = 20.0
-    """Most attempts that repeats made elsewhere may take in advance.
-
-    About what a daemon with 20 calls a second earns in 10 s, after which repeats do not count.
-    """
+    """Most tokens that repeats made elsewhere may take in advance."""
 
     def __init__(self, share: float, rng: Random) -> None:
         self.share = share
@@ -49,11 +46,12 @@
         self._tokens = self.RESERVE if share > 0 else 0.0
 
     def set_slack(self, now: float, slack: SlackPart) -> None:
-        """Take a part of a slack that daemons share, in place of a reserve.
+        """Use a part of the slack that daemons share instead of a reserve.
 
-        A budget that begins is given one attempt at most, less where many share the slack, and
-        gains nothing for a window. A daemon that has just started may not know who shares it, nor
-        what its earlier life has spent; what it was given too much is taken back as it learns.
+        A new budget starts with at most one token, less if many daemons share the slack, and gains
+        none from the slack for one window: a daemon that has just started may know neither the
+        others nor what its earlier incarnation has spent. If the part shrinks within that time, the
+        excess is taken back.
         """
         if self._slack is None:
             self._tokens = self._granted = min(1.0, slack.capacity)
@@ -66,18 +64,18 @@
         self._tokens = min(self._tokens, self.cap)
 
     def record_call(self, now: float = 0.0, repeat: float = 0.0) -> None:
-        """Count a first attempt, which earns `share` of a further one.
+        """Count a first attempt, which earns `share` of a retry.
 
-        `repeat` is how likely it is a part of a further attempt at another service, 0 to 1. It is
-        then a repeat itself, and costs what a further attempt costs: along a chain of services,
-        each with its own share, repeats would else add up to a share for each of them.
+        `repeat` is the probability, 0 to 1, that it is caused by a retry at another service. It
+        then costs a token as a retry does; otherwise, retries would multiply along a chain of
+        services that each have their own budget.
         """
         self._refill(now)
         earned = self.share * (1.0 - repeat) - repeat
         self._tokens = max(-self.MAX_DEBT, min(self.cap, self._tokens + earned))
 
     def spend(self, now: float = 0.0) -> bool:
-        """Take one further attempt if the budget has it."""
+        """Take a token for one retry; returns False if the budget has too few."""
         self._refill(now)
         if self._tokens < self._needed():
             return False
@@ -86,7 +84,7 @@
         return True
 
     def _needed(self) -> float:
-        # With whole attempts only, daemons that each see few calls would never retry any.
+        # With whole tokens only, daemons that each have few calls would never retry.
         if self._slack is not None and self._slack.capacity < 1.0:
             return self._threshold
         return 1.0
@@ -98,7 +96,7 @@
         self._at = now
         capacity = self._slack.capacity
         if self._tokens > capacity:
-            # Many daemons would else each keep an attempt for when all have a reason to retry.
+            # Otherwise many daemons could save tokens and spend them all at the same time.
             self._tokens = capacity + (self._tokens - capacity) * exp(
                 -passed / self._slack.window_s
             )
--- a/foldhoist/admission/shedding.py
+++ b/foldhoist/admission/shedding.py
@@ -1,29 +1,26 @@
-"""Whether an upstream turns every call away, and which call finds out that this has ended.
+"""Detects that an upstream sheds every call, and chooses trial calls to see whether it still does.
 
-An upstream that turns all calls away is idle and quick, so it draws more of them, and each is an
-arrival there, which the retry budget pays for. One that is only full answers some in between.
+An upstream that sheds all calls looks idle and fast, so it attracts more of them, and each attempt
+costs the retry budget. One that is merely full answers some calls in between.
 No I/O, no clock; times are monotonic seconds.
 """
 
 from __future__ import annotations
 
 REJECTIONS_IN_A_ROW = 12
-"""Calls turned away with none answered in between from which on all are taken to be.
-
-One that turns half of its calls away by chance does so 12 times in a row once in 4,096 calls.
-"""
+"""Rejected calls without an answer in between after which the upstream sheds all."""
 FIRST_TRIAL_PAUSE_S = 0.1
-"""Time until a call finds out whether that has ended, seconds; twice as long each time."""
+"""Time until the first trial call, seconds; doubled with each further rejection."""
 MAX_TRIAL_PAUSE_S = 0.8
-"""Longest such time, seconds: so late at most is it seen that there is room again."""
+"""Longest time between a rejection and the next trial, seconds."""
 TRIAL_TIMEOUT_S = 0.5
-"""A trial that has not ended after this long is followed by another one, seconds."""
+"""A trial without a result is followed by another one after this time, seconds."""
 INVITATION_PAUSE_S = 0.1
-"""An ingress that was asked for a call has this long until another one is asked, seconds."""
+"""Time between two invitations to send a trial call, seconds."""
 
 
 class Shedding:
-    """What an owner knows of its upstream turning calls away."""
+    """Whether one upstream sheds all calls, and when to try it again."""
 
     def __init__(self) -> None:
         self.sheds_all = False
@@ -34,7 +31,7 @@
         self._invite_at = 0.0
 
     def record_rejection(self, now: float) -> bool:
-        """Count a call that was turned away; returns whether all are taken to be from now on."""
+        """Count a rejected call; returns whether the upstream is now found to shed all calls."""
         if not self._rejections:
             self._first_rejection_at = now
         self._rejections += 1
@@ -49,9 +46,9 @@
         return True
 
     def record_answer(self, started: float) -> bool:
-        """Count a call that the upstream has run; returns whether it takes calls again by that.
+        """Count an answered call; returns whether it ends the shedding of all calls.
 
-        One that started before the first of those in a row was turned away says nothing of now.
+        A call that started before the first of the current rejections is ignored.
         """
         if self._rejections and started < self._first_rejection_at:
             return False
@@ -63,7 +60,7 @@
         return True
 
     def admits(self, now: float) -> bool:
-        """Return whether a call may go to the upstream now; then it is the trial."""
+        """Return whether a call may go to the upstream; if it sheds all, the call is the trial."""
         if not self.sheds_all:
             return True
         if now < self._trial_at:
@@ -72,12 +69,12 @@
         return True
 
     def should_invite(self, now: float) -> bool:
-        """Return whether an ingress is to be asked for a call: nobody sends one unasked."""
+        """Return whether to ask an ingress for a trial call: none sends one unasked."""
         if not self.sheds_all or now < max(self._trial_at, self._invite_at):
             return False
         self._invite_at = now + INVITATION_PAUSE_S
         return True
 
     def retry_after_s(self, now: float) -> float:
-        """Return when a call may be taken, seconds."""
+        """Return the seconds until the next trial is due."""
         return max(0.0, self._trial_at - now)
--- a/foldhoist/admission/slots.py
+++ b/foldhoist/admission/slots.py
@@ -1,4 +1,4 @@
-"""The owner's slots and its queue: admit, wait or refuse, urgent calls first but not alone."""
+"""The owner's slots and queue: urgent calls first, without starving ordinary ones; no I/O."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 DEFAULT_SERVICE_S = 0.005
 """Service time assumed before the first answer, seconds."""
 SMOOTHING = 0.1
-"""Weight of the newest service time in the running mean."""
+"""Weight of the newest service time in the moving average."""
 
 
 class Start(NamedTuple):
-    """A slot was taken; the call goes to the upstream now."""
+    """The call takes a slot and goes to the upstream now."""
 
     ticket: int
 
@@ -24,7 +24,7 @@
 
 
 class Refuse(NamedTuple):
-    """The call gets no slot in time; ask again after `retry_after_s` seconds."""
+    """The call gets no slot in time; its caller may retry after `retry_after_s` seconds."""
 
     ticket: int
     reason: str
@@ -35,7 +35,12 @@
 
 
 class QueueLimits(NamedTuple):
-    """Sizes of one owner's queue, from the configuration."""
+    """Limits of one owner's queue, from the configuration.
+
+    `slots` calls run at once and `queue` calls wait. In `SlotQueue`, ordinary calls leave
+    `urgent_slots` free, and after `urgent_run` urgent starts with ordinary calls waiting an
+    ordinary one goes first.
+    """
 
     slots: int
     queue: int
@@ -57,17 +62,17 @@
         self.service_s = DEFAULT_SERVICE_S
         self._urgent: deque[_Waiting] = deque()
         self._ordinary: deque[_Waiting] = deque()
-        self._gone: set[int] = set()
+        self._withdrawn: set[int] = set()
         self._queued = 0
         self._urgent_in_row = 0
 
     @property
     def queued(self) -> int:
-        """Return the number of calls that wait."""
+        """Return the number of waiting calls."""
         return self._queued
 
     def submit(self, now: float, ticket: int, urgent: bool, deadline: float) -> Decision:
-        """Decide on a new call; `deadline` is the latest useful start, seconds."""
+        """Decide on a new call; `deadline` is its latest start, monotonic seconds."""
         if now >= deadline:
             return Refuse(ticket, "deadline-passed", 0.0)
         if self._is_first(urgent) and self._may_start(urgent):
@@ -90,23 +95,26 @@
         return max(0, over) * self.service_s / self.limits.slots
 
     def withdraw(self, ticket: int) -> None:
-        """Take a waiting call out of the queue."""
-        self._gone.add(ticket)
+        """Remove a waiting call from the queue."""
+        self._withdrawn.add(ticket)
         self._queued -= 1
 
     def release(self, now: float, served_s: float | None) -> list[Decision]:
-        """Free a slot; `served_s` is the service time if an answer came. Starts waiting calls."""
+        """Free a slot and start waiting calls.
+
+        `served_s` is the service time, None if no answer came.
+        """
         self.busy -= 1
         if served_s is not None:
             self.service_s += SMOOTHING * (served_s - self.service_s)
         return self.advance(now)
 
     def advance(self, now: float) -> list[Decision]:
-        """Start what can be started and refuse what has waited past its deadline."""
+        """Start waiting calls while there are slots; refuse those past their deadline."""
         decisions: list[Decision] = []
         while True:
-            self._drop_gone(self._urgent)
-            self._drop_gone(self._ordinary)
+            self._drop_withdrawn(self._urgent)
+            self._drop_withdrawn(self._ordinary)
             lane = self._next_lane()
             if lane is None:
                 return decisions
@@ -115,7 +123,7 @@
             if now >= call.deadline:
                 decisions.append(Refuse(call.ticket, "deadline-passed", 0.0))
                 continue
-            self._count_lane(lane)
+            self._count_urgent_run(lane)
             self.busy += 1
             decisions.append(Start(call.ticket))
 
@@ -123,19 +131,21 @@
         """Refuse every waiting call whose deadline has passed."""
         decisions: list[Decision] = []
         for lane in (self._urgent, self._ordinary):
-            late = [call for call in lane if now >= call.deadline and call.ticket not in self._gone]
+            late = [
+                call for call in lane if now >= call.deadline and call.ticket not in self._withdrawn
+            ]
             for call in late:
                 self.withdraw(call.ticket)
                 decisions.append(Refuse(call.ticket, "deadline-passed", 0.0))
-            self._drop_gone(lane)
+            self._drop_withdrawn(lane)
         return decisions
 
-    def _drop_gone(self, lane: deque[_Waiting]) -> None:
-        while lane and lane[0].ticket in self._gone:
-            self._gone.discard(lane.popleft().ticket)
+    def _drop_withdrawn(self, lane: deque[_Waiting]) -> None:
+        while lane and lane[0].ticket in self._withdrawn:
+            self._withdrawn.discard(lane.popleft().ticket)
 
     def _is_first(self, urgent: bool) -> bool:
-        self._drop_gone(self._urgent)
+        self._drop_withdrawn(self._urgent)
         return not self._urgent if urgent else self._queued == 0
 
     def _may_start(self, urgent: bool) -> bool:
@@ -145,8 +155,8 @@
     def _next_lane(self) -> deque[_Waiting] | None:
         if self.busy >= self.limits.slots:
             return None
-        passed_enough = self._urgent_in_row >= self.limits.urgent_run
-        if self._ordinary and passed_enough:
+        run_is_over = self._urgent_in_row >= self.limits.urgent_run
+        if self._ordinary and run_is_over:
             return self._ordinary
         if self._urgent:
             return self._urgent
@@ -154,7 +164,7 @@
             return self._ordinary
         return None
 
-    def _count_lane(self, lane: deque[_Waiting]) -> None:
+    def _count_urgent_run(self, lane: deque[_Waiting]) -> None:
         if lane is self._urgent and self._ordinary:
             self._urgent_in_row += 1
             return
--- a/foldhoist/quarantine/__init__.py
+++ b/foldhoist/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Calls under which upstreams end: how they are known, counted by all daemons, and refused."""
+"""Calls under which upstreams crash: identified, counted by all daemons, and refused."""
--- a/foldhoist/quarantine/identity.py
+++ b/foldhoist/quarantine/identity.py
@@ -1,4 +1,4 @@
-"""By what a call is known when it comes again; no I/O."""
+"""Identifies repeated calls by a digest; no I/O."""
 
 from __future__ import annotations
 
@@ -9,15 +9,14 @@
     from foldhoist.delivery.verdict import Headers
 
 DIGEST_BYTES = 8
-"""Length of an identity: of a million calls that are noted, two are alike with chance 3e-8."""
+"""Length of an identity, bytes."""
 
 
 def identity_of(method: str, path: str, headers: Headers, body: bytes, caller: str) -> str:
-    """Return a digest of what a call asks for and of whose call it is.
+    """Return a hexadecimal digest of what a call requests and of the service that makes it.
 
-    Two calls that ask the same host for the same, with the same body, from the same service are
-    alike, at whatever daemon and whenever they come. `path` has the query; of the headers only the
-    host counts, since others differ from one sending to the next.
+    Calls with the same caller, method, path with query, host and body have the same identity at
+    every daemon. Other headers are left out, since they may differ between two attempts.
     """
     digest = blake2b(digest_size=DIGEST_BYTES)
     digest.update(f"{caller} {method} {path} ".encode())
--- a/foldhoist/quarantine/table.py
+++ b/foldhoist/quarantine/table.py
@@ -1,8 +1,8 @@
-"""Calls under which upstreams have ended, as all daemons together have seen; no I/O, no clock.
+"""Calls under which upstreams have crashed, merged from all daemons; no I/O, no clock.
 
-Each daemon notes which calls were at work when the upstream beside it ended, and tells the others.
-What is told is a set of crashes for each call and a set of those that were refuted, both of which
-only grow: whoever has heard the same, in whatever order and however often, holds the same calls.
+Each daemon records the calls that were running when its own upstream crashed and sends them to the
+others. Per call, the crashes and the refuted crashes are sets that only grow, so daemons that have
+merged the same rows agree, in whatever order and however often they came.
 """
 
 from __future__ import annotations
@@ -16,33 +16,29 @@
     from foldhoist.schema.messages import Suspect
 
 QUARANTINED = "ends-upstreams"
-"""Reason of a call that is refused, or stopped, since upstreams have ended under calls like it."""
+"""Reason of a call that is refused or cancelled because upstreams crashed under such calls."""
 CRASH_THRESHOLD = 2
-"""Crashes with a call at work, none refuted, from which on calls like it are refused.
+"""Number of unrefuted crashes from which on a call is quarantined.
 
-An upstream takes seconds to come back. With one, every call that is lost with an upstream would be
-refused when its caller sends it again. With three, where such calls came 60 ms apart and an
-upstream ended 50 to 100 ms after it began, the last of four had one before the third had ended.
+One would quarantine every call that was lost with an upstream as soon as it is retried. A higher
+number would let such calls crash more upstreams before the crashes become known.
 """
 QUARANTINE_S = 600.0
-"""Calls are refused this long after the last such crash, seconds; twice as long with each more.
+"""Length of a quarantine after the last crash, seconds; doubled with each further crash.
 
-Long beside a restart, so that a call that is sent again and again seldom ends an upstream; short
-beside a day, so that one that has been mended is served again without an operator.
+Long compared with a restart of an upstream; short enough that a corrected request is served again
+without an operator.
 """
 MAX_QUARANTINE_S = 86_400.0
-"""Longest time for which calls are refused without another crash, seconds."""
+"""Longest quarantine without another crash, seconds."""
 MAX_SUSPECTS = 1024
-"""Calls that are suspect; the one whose last crash is the oldest goes first.
-
-A crash notes as many as the upstream has slots: about a hundred crashes.
-"""
+"""Calls kept with their crashes; the one without a new crash for longest is dropped first."""
 MAX_ANSWERED = 1024
-"""Calls that are remembered as answered by the upstream beside this daemon; the oldest go first."""
+"""Calls remembered as answered by the upstream of this daemon; the oldest are dropped."""
 
 
 class _CrashRecord:
-    """What is known of one call; `at` is when its last crash was, monotonic seconds."""
+    """The crashes under one call; `at` is the time of the last one, monotonic seconds."""
 
     __slots__ = ("at", "crashes", "refuted")
 
@@ -53,17 +49,17 @@
 
     @property
     def quarantined_until(self) -> float:
-        """Return until when calls like it are refused, minus infinity for not at all."""
-        beyond = len(self.crashes - self.refuted) - CRASH_THRESHOLD
-        if beyond < 0:
+        """Return the end of the quarantine, monotonic seconds; minus infinity if there is none."""
+        excess = len(self.crashes - self.refuted) - CRASH_THRESHOLD
+        if excess < 0:
             return float("-inf")
-        return self.at + min(MAX_QUARANTINE_S, QUARANTINE_S * 2.0**beyond)
+        return self.at + min(MAX_QUARANTINE_S, QUARANTINE_S * 2.0**excess)
 
 
 class Quarantine:
-    """The calls that are suspected and those that are refused; `now` is monotonic seconds.
+    """Suspect and quarantined calls, by identity; `now` is monotonic seconds.
 
-    `incarnation` identifies this run of the daemon and prefixes the names of its crashes.
+    `incarnation` names this incarnation of the daemon and makes the names of its crashes unique.
     """
 
     def __init__(self, incarnation: str = "") -> None:
@@ -76,11 +72,11 @@
 
     @property
     def active(self) -> bool:
-        """Return whether any call is refused: without one no identity need be worked out."""
+        """Return whether any call is quarantined; if not, identities need not be computed."""
         return bool(self._quarantined)
 
     def remaining_s(self, now: float, call: str) -> float:
-        """Return for how long calls like this one are refused yet, seconds; 0 if they are not."""
+        """Return how many seconds the call stays quarantined; 0 if it is not."""
         if call not in self._quarantined:
             return 0.0
         left_s = self._suspects[call].quarantined_until - now
@@ -90,34 +86,34 @@
         return 0.0
 
     def is_suspect(self, call: str) -> bool:
-        """Return whether an upstream has ended with a call like this one at work."""
+        """Return whether the call has a crash that is not refuted."""
         suspect = self._suspects.get(call)
         return suspect is not None and bool(suspect.crashes - suspect.refuted)
 
     def is_own(self, call: str) -> bool:
-        """Return whether the upstream beside this daemon has ended with such a call at work."""
+        """Return whether the upstream of this daemon has crashed while such a call ran."""
         return call in self._own
 
     def record_crash(self, now: float, calls: Iterable[str]) -> list[Suspect]:
-        """Take in that the upstream beside this daemon ended with these at work; return the news.
+        """Record a crash of the upstream of this daemon under these calls; return the changed rows.
 
-        A call that it had answered before is not suspected for once: what many callers ask for is
-        at work at most upstreams when a data centre loses power.
+        A call that it had answered before is exempt once: when a data centre loses power, calls
+        that many callers make are running at most upstreams.
         """
         self._count += 1
         crash = f"{self._incarnation}/{self._count}"
-        news: list[Suspect] = []
+        changed: list[Suspect] = []
         for call in calls:
             if call in self._answered:
                 del self._answered[call]
                 continue
             self._own.add(call)
-            self._note(call, {crash}, set(), now)
-            news.append(self._row(now, call))
-        return news
+            self._merge_row(call, {crash}, set(), now)
+            changed.append(self._row(now, call))
+        return changed
 
     def record_answer(self, now: float, call: str) -> list[Suspect]:
-        """Take in that the upstream beside this daemon has answered a call; return the news."""
+        """Record that the upstream of this daemon answered a call; return the changed rows."""
         self._answered[call] = None
         self._answered.move_to_end(call)
         if len(self._answered) > MAX_ANSWERED:
@@ -125,29 +121,29 @@
         if not self.is_suspect(call):
             return []
         suspect = self._suspects[call]
-        self._note(call, set(), set(suspect.crashes), suspect.at)
+        self._merge_row(call, set(), set(suspect.crashes), suspect.at)
         return [self._row(now, call)]
 
     def merge(self, now: float, rows: Iterable[Suspect]) -> list[str]:
-        """Take in what another daemon knows; return the calls that are refused from now on."""
-        held: list[str] = []
+        """Merge the rows of another daemon; return the calls that are newly quarantined."""
+        quarantined: list[str] = []
         for row in rows:
             call = row["call"]
             before = call in self._quarantined
             at = now - row["age_ms"] / 1000
-            self._note(call, set(row["crashes"]), set(row["refuted"]), at)
+            self._merge_row(call, set(row["crashes"]), set(row["refuted"]), at)
             if call in self._quarantined and not before and self.remaining_s(now, call):
-                held.append(call)
-        return held
+                quarantined.append(call)
+        return quarantined
 
     def restore(self, now: float, rows: Iterable[Suspect]) -> None:
-        """Take in what an earlier incarnation of this daemon has seen."""
+        """Merge the rows that an earlier incarnation of this daemon has stored."""
         for row in rows:
             self._own.add(row["call"])
         self.merge(now, rows)
 
     def rows(self, now: float, *, own: bool = False) -> list[Suspect]:
-        """Return what a daemon that starts has to know; with `own`, what this one has seen."""
+        """Return the rows for a daemon that starts; with `own`, those to store for this daemon."""
         found: list[Suspect] = []
         for call, suspect in self._suspects.items():
             if own and not (call in self._own and self.remaining_s(now, call)):
@@ -156,7 +152,7 @@
                 found.append(self._row(now, call))
         return found
 
-    def _note(self, call: str, crashes: set[str], refuted: set[str], at: float) -> None:
+    def _merge_row(self, call: str, crashes: set[str], refuted: set[str], at: float) -> None:
         suspect = self._suspects.get(call)
         if suspect is None:
             suspect = self._suspects[call] = _CrashRecord()
