--- a/foldhoist/customers/credit.py
+++ b/foldhoist/customers/credit.py
@@ -12,8 +12,8 @@
 from typing import TYPE_CHECKING, NamedTuple, TypeAlias
 
 from foldhoist.admission.fading import FadingShare
-from foldhoist.customers.keeper import LONGEST_AGAIN_S
-from foldhoist.customers.seats import keepers, seats
+from foldhoist.customers.candidates import quota_server_candidates, ranked_servers
+from foldhoist.customers.quota_server import MAX_RETRY_AFTER_S
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -24,30 +24,30 @@
 
 OVER_QUOTA = "over-quota"
 """Reason of a refusal: the customer's quota is used up."""
-NO_KEEPER = "quota-unknown"
+NO_QUOTA_SERVER = "quota-unknown"
 """Reason of a refusal: no keeper of the quota answers, and this host's own share is used up."""
-ASK_S = 0.25
+ANSWER_TIMEOUT_S = 0.25
 """Longest wait for a keeper's answer, seconds: a link full of large answers delays it so much."""
-MOST_ASKED = 2
+MAX_SERVERS_ASKED = 2
 """Keepers that are asked for one call, one after the other."""
-HELD_S = 0.5
+CREDIT_LIFETIME_S = 0.5
 """Credit that is not used for this long is given up, seconds: others may want it."""
-AHEAD_S = 0.25
+PREFETCH_S = 0.25
 """Credit is asked for what comes within this time, too, seconds."""
-USE_S = 1.0
+DEMAND_DECAY_S = 1.0
 """Calls count by 1/e after this long in what is expected to come, seconds."""
-QUIET_S = 0.25
+MAX_DENIAL_PAUSE_S = 0.25
 """After a denial no more credit is asked for until then at most, seconds.
 
 The keeper of a customer that sends many times its usual hears of each host so often at most.
 """
 SUSPECT_S = 1.0
 """A keeper that has not answered is asked again after this long, seconds."""
-OWN_AGAIN_S = 0.5
+OWN_SHARE_RETRY_AFTER_S = 0.5
 """When a caller is told to come back while no keeper answers, seconds."""
-FORGET_S = 10.0
+ACCOUNT_EXPIRY_S = 10.0
 """A customer without calls here is forgotten after this long or twice as long, seconds."""
-SPREAD = 0.5
+RETRY_JITTER = 0.5
 """Callers are told to come back later than there is credit by up to this share of the time."""
 
 
@@ -55,7 +55,7 @@
     """A call that may run; `scarce` says that the customer has used up most of its burst."""
 
     call_id: int
-    scarce: bool
+    over_burst: bool
 
 
 class Denied(NamedTuple):
@@ -63,24 +63,24 @@
 
     call_id: int
     reason: str
-    again_s: float
+    retry_after_s: float
 
 
 class Ask(NamedTuple):
     """Send this to a keeper."""
 
-    keeper: str
+    server: str
     message: CreditAsk
 
 
 Step: TypeAlias = Granted | Denied | Ask
 
 
-class _Asked(NamedTuple):
+class _PendingAsk(NamedTuple):
     """A question without an answer: its number, whom, when, seconds."""
 
-    number: int
-    keeper: str
+    ask_id: int
+    server: str
     at: float
 
 
@@ -88,20 +88,20 @@
     """What is known here of one customer's quota; times are seconds, monotonic."""
 
     __slots__ = (
-        "again_at",
-        "asked",
         "credit",
         "credit_until",
         "customer",
-        "keeper",
-        "keeper_since",
-        "own",
-        "own_at",
-        "quiet_until",
-        "scarce",
+        "demand",
+        "last_call_at",
+        "no_asks_until",
+        "over_burst",
+        "own_credit",
+        "own_credit_at",
+        "pending",
+        "retry_at",
+        "server",
+        "server_since",
         "tried",
-        "use",
-        "used_at",
         "waiting",
     )
 
@@ -109,18 +109,18 @@
         self.customer = customer
         self.credit = 0
         self.credit_until = 0.0
-        self.quiet_until = 0.0
-        self.again_at = 0.0
-        self.scarce = False
+        self.no_asks_until = 0.0
+        self.retry_at = 0.0
+        self.over_burst = False
         self.waiting: deque[int] = deque()
-        self.asked: _Asked | None = None
+        self.pending: _PendingAsk | None = None
         self.tried: set[str] = set()
-        self.use = FadingShare(now, USE_S)
-        self.used_at = now
-        self.own = 0.0
-        self.own_at = now
-        self.keeper = ""
-        self.keeper_since = now
+        self.demand = FadingShare(now, DEMAND_DECAY_S)
+        self.last_call_at = now
+        self.own_credit = 0.0
+        self.own_credit_at = now
+        self.server = ""
+        self.server_since = now
 
     def spend(self, now: float) -> bool:
         """Use credit for one call, if there is any."""
@@ -132,7 +132,7 @@
         return True
 
 
-class CreditBook:
+class CreditClient:
     """Credit of all customers with calls at this host; `now` is in seconds, monotonic."""
 
     def __init__(self, rng: Random) -> None:
@@ -141,13 +141,13 @@
         self.late = 0
         self._rng = rng
         self._accounts: dict[str, _Account] = {}
-        self._asked: dict[int, _Account] = {}
-        self._hosts = 1
-        self._seats: tuple[str, ...] = ()
-        self._known: frozenset[str] = frozenset()
-        self._up: set[str] = set()
+        self._pending: dict[int, _Account] = {}
+        self._host_count = 1
+        self._candidates: tuple[str, ...] = ()
+        self._known_hosts: frozenset[str] = frozenset()
+        self._connected: set[str] = set()
         self._suspect_until: dict[str, float] = {}
-        self._next_ask = 1
+        self._next_ask_id = 1
         self._forget_at = 0.0
 
     def adopt(self, now: float, directory: Directory) -> list[Step]:
@@ -157,107 +157,109 @@
             customer = directory.named(name)
             if customer is not None and customer.limited:
                 account.customer = customer
-                account.credit = min(account.credit, int(customer.most))
+                account.credit = min(account.credit, int(customer.max_credit))
                 continue
             steps += [Granted(call_id, False) for call_id in account.waiting]
             self._forget(name, account)
         return steps
 
-    def place(self, hosts: Iterable[str]) -> None:
+    def set_hosts(self, hosts: Iterable[str]) -> None:
         """Take over the hosts that are known, this one included."""
         known = frozenset(hosts)
-        if known != self._known:
-            self._known = known
-            self._seats = seats(known)
-            self._hosts = max(1, len(known))
+        if known != self._known_hosts:
+            self._known_hosts = known
+            self._candidates = quota_server_candidates(known)
+            self._host_count = max(1, len(known))
 
-    def take(self, now: float, customer: Customer, call_id: int) -> list[Step]:
+    def admit(self, now: float, customer: Customer, call_id: int) -> list[Step]:
         """Decide on a call of a limited customer, at once or when its keeper has answered."""
         account = self._accounts.get(customer.name)
         if account is None:
             account = self._accounts[customer.name] = _Account(customer, now)
-        account.use.count(now, 0.0)
-        account.used_at = now
+        account.demand.count(now, 0.0)
+        account.last_call_at = now
         if account.spend(now):
-            return [Granted(call_id, account.scarce)]
-        if account.asked is None and now < account.quiet_until:
+            return [Granted(call_id, account.over_burst)]
+        if account.pending is None and now < account.no_asks_until:
             return [self._denied(now, account, call_id)]
         account.waiting.append(call_id)
-        return self._ask(now, account) if account.asked is None else []
+        return self._ask(now, account) if account.pending is None else []
 
-    def answered(self, now: float, message: Credit) -> list[Step]:
+    def on_credit(self, now: float, message: Credit) -> list[Step]:
         """Take in a keeper's answer; one that comes too late counts for nothing."""
-        account = self._asked.pop(message["ask"], None)
-        if account is None or account.asked is None:
+        account = self._pending.pop(message["ask"], None)
+        if account is None or account.pending is None:
             self.late += 1
             return []
-        asked, account.asked = account.asked, None
+        pending, account.pending = account.pending, None
         # Until now this keeper has had this host's share.
-        account.own, account.own_at = 0.0, now
+        account.own_credit, account.own_credit_at = 0.0, now
         if not message["known"]:
-            account.tried.add(asked.keeper)
+            account.tried.add(pending.server)
             return self._ask(now, account)
-        if now - asked.at > HELD_S:
+        if now - pending.at > CREDIT_LIFETIME_S:
             # This host has stood still: the credit is of then.
             return self._ask(now, account)
         account.tried.clear()
-        account.scarce = message["scarce"]
+        account.over_burst = message["scarce"]
         if now >= account.credit_until:
             account.credit = 0
         account.credit += message["granted"]
-        account.credit_until = asked.at + HELD_S
-        again_s = message["again_ms"] / 1000
-        if again_s:
-            account.quiet_until = now + min(again_s, QUIET_S)
-            account.again_at = now + again_s
-        return self._serve(now, account, denied=again_s > 0)
-
-    def up(self, now: float, host: str, *, up: bool) -> list[Step]:
+        account.credit_until = pending.at + CREDIT_LIFETIME_S
+        retry_after_s = message["again_ms"] / 1000
+        if retry_after_s:
+            account.no_asks_until = now + min(retry_after_s, MAX_DENIAL_PAUSE_S)
+            account.retry_at = now + retry_after_s
+        return self._decide_waiting(now, account, denied=retry_after_s > 0)
+
+    def link_changed(self, now: float, host: str, *, up: bool) -> list[Step]:
         """Take in that a host is connected, or not any more."""
         if up:
-            self._up.add(host)
+            self._connected.add(host)
             return []
-        self._up.discard(host)
+        self._connected.discard(host)
         self._suspect_until.pop(host, None)
         steps: list[Step] = []
-        for account in list(self._asked.values()):
-            if account.asked is not None and account.asked.keeper == host:
-                steps += self._ask_another(now, account, account.asked)
+        for account in list(self._pending.values()):
+            if account.pending is not None and account.pending.server == host:
+                steps += self._ask_next(now, account, account.pending)
         return steps
 
     def tick(self, now: float) -> list[Step]:
         """Ask others in place of keepers that have not answered, forget who has no calls."""
         steps: list[Step] = []
-        for account in list(self._asked.values()):
-            asked = account.asked
-            if asked is None or now < asked.at + ASK_S:
+        for account in list(self._pending.values()):
+            pending = account.pending
+            if pending is None or now < pending.at + ANSWER_TIMEOUT_S:
                 continue
             self.unanswered += 1
-            if asked.keeper in self._up and now >= self._suspect_until.get(asked.keeper, 0.0):
-                self._suspect_until[asked.keeper] = now + SUSPECT_S
-                steps.append(_elsewhere(account, asked))
-            steps += self._ask_another(now, account, asked)
+            if pending.server in self._connected and now >= self._suspect_until.get(
+                pending.server, 0.0
+            ):
+                self._suspect_until[pending.server] = now + SUSPECT_S
+                steps.append(_ask_elsewhere(account, pending))
+            steps += self._ask_next(now, account, pending)
         if now >= self._forget_at:
-            self._forget_at = now + FORGET_S
+            self._forget_at = now + ACCOUNT_EXPIRY_S
             self._forget_unused(now)
         return steps
 
     def next_at(self) -> float | None:
         """Return when `tick` has a question to end, None for never."""
-        oldest = next(iter(self._asked.values()), None)
-        if oldest is None or oldest.asked is None:
+        oldest = next(iter(self._pending.values()), None)
+        if oldest is None or oldest.pending is None:
             return None
-        return oldest.asked.at + ASK_S
+        return oldest.pending.at + ANSWER_TIMEOUT_S
 
-    def give_back(self, now: float, customer: Customer) -> None:
+    def return_credit(self, now: float, customer: Customer) -> None:
         """Take back the credit of a call that did not run; the next one may use it."""
         account = self._accounts.get(customer.name)
         if account is None:
             return
         if now >= account.credit_until:
             account.credit = 0
-        account.credit = min(account.credit + 1, int(customer.most))
-        account.credit_until = max(account.credit_until, now + HELD_S)
+        account.credit = min(account.credit + 1, int(customer.max_credit))
+        account.credit_until = max(account.credit_until, now + CREDIT_LIFETIME_S)
 
     def withdraw(self, customer: Customer, call_id: int) -> bool:
         """Take in that a call has ended; returns whether it was still waiting for credit."""
@@ -273,90 +275,92 @@
         """Ask the keeper for the calls that wait, or go by the own share if none is left to ask."""
         if not account.waiting:
             return []
-        keeper = self._keeper(now, account)
-        if keeper is None:
+        server = self._next_server(now, account)
+        if server is None:
             account.tried.clear()
-            return self._serve_own(now, account)
-        number = self._next_ask
-        self._next_ask += 1
+            return self._decide_by_own_share(now, account)
+        ask_id = self._next_ask_id
+        self._next_ask_id += 1
         self.asks += 1
-        account.asked = _Asked(number, keeper, now)
-        self._asked[number] = account
+        account.pending = _PendingAsk(ask_id, server, now)
+        self._pending[ask_id] = account
         # Where credit is short, what one host holds unused is what another one lacks.
-        ahead = 0 if account.scarce else int(account.use.counted(now) * AHEAD_S)
-        want = min(len(account.waiting) + ahead, int(account.customer.most) + 1)
-        if keeper != account.keeper:
-            account.keeper, account.keeper_since = keeper, now
-        lends_ms = int((now - account.keeper_since) * 1000)
-        return [Ask(keeper, _question(account, number, want, lends_ms))]
-
-    def _ask_another(self, now: float, account: _Account, asked: _Asked) -> list[Step]:
-        self._asked.pop(asked.number, None)
-        account.asked = None
-        account.tried.add(asked.keeper)
+        prefetch = 0 if account.over_burst else int(account.demand.counted(now) * PREFETCH_S)
+        want = min(len(account.waiting) + prefetch, int(account.customer.max_credit) + 1)
+        if server != account.server:
+            account.server, account.server_since = server, now
+        lends_ms = int((now - account.server_since) * 1000)
+        return [Ask(server, _credit_ask(account, ask_id, want, lends_ms))]
+
+    def _ask_next(self, now: float, account: _Account, pending: _PendingAsk) -> list[Step]:
+        self._pending.pop(pending.ask_id, None)
+        account.pending = None
+        account.tried.add(pending.server)
         return self._ask(now, account)
 
-    def _keeper(self, now: float, account: _Account) -> str | None:
-        if len(account.tried) >= MOST_ASKED:
+    def _next_server(self, now: float, account: _Account) -> str | None:
+        if len(account.tried) >= MAX_SERVERS_ASKED:
             return None
-        for host in keepers(account.customer.name, self._seats):
-            if host not in self._up or host in account.tried:
+        for host in ranked_servers(account.customer.name, self._candidates):
+            if host not in self._connected or host in account.tried:
                 continue
             if now >= self._suspect_until.get(host, 0.0):
                 return host
         return None
 
-    def _serve(self, now: float, account: _Account, *, denied: bool) -> list[Step]:
+    def _decide_waiting(self, now: float, account: _Account, *, denied: bool) -> list[Step]:
         steps: list[Step] = []
         while account.waiting and account.spend(now):
-            steps.append(Granted(account.waiting.popleft(), account.scarce))
+            steps.append(Granted(account.waiting.popleft(), account.over_burst))
         if not denied:
             return steps + self._ask(now, account)
         while account.waiting:
             steps.append(self._denied(now, account, account.waiting.popleft()))
         return steps
 
-    def _serve_own(self, now: float, account: _Account) -> list[Step]:
+    def _decide_by_own_share(self, now: float, account: _Account) -> list[Step]:
         """Let calls run by this host's own share, which no keeper has of it now."""
         customer = account.customer
-        gained = customer.rate_per_s / self._hosts * (now - account.own_at)
-        account.own = min(max(1.0, customer.burst / self._hosts), account.own + gained)
-        account.own_at = now
+        gained = customer.rate_per_s / self._host_count * (now - account.own_credit_at)
+        account.own_credit = min(
+            max(1.0, customer.burst / self._host_count), account.own_credit + gained
+        )
+        account.own_credit_at = now
         # No keeper has had it until now: whichever is asked next is lent what comes.
-        account.keeper = ""
+        account.server = ""
         steps: list[Step] = []
         while account.waiting:
             call_id = account.waiting.popleft()
-            if account.own < 1.0:
-                steps.append(Denied(call_id, NO_KEEPER, OWN_AGAIN_S))
+            if account.own_credit < 1.0:
+                steps.append(Denied(call_id, NO_QUOTA_SERVER, OWN_SHARE_RETRY_AFTER_S))
                 continue
-            account.own -= 1.0
-            steps.append(Granted(call_id, account.scarce))
+            account.own_credit -= 1.0
+            steps.append(Granted(call_id, account.over_burst))
         return steps
 
     def _denied(self, now: float, account: _Account, call_id: int) -> Denied:
-        left_s = max(0.0, account.again_at - now) * (1.0 + SPREAD * self._rng.random())
-        return Denied(call_id, OVER_QUOTA, min(LONGEST_AGAIN_S, left_s))
+        left_s = max(0.0, account.retry_at - now) * (1.0 + RETRY_JITTER * self._rng.random())
+        return Denied(call_id, OVER_QUOTA, min(MAX_RETRY_AFTER_S, left_s))
 
     def _forget_unused(self, now: float) -> None:
         for name, account in list(self._accounts.items()):
-            if not account.waiting and now - account.used_at > FORGET_S:
+            if not account.waiting and now - account.last_call_at > ACCOUNT_EXPIRY_S:
                 self._forget(name, account)
 
     def _forget(self, name: str, account: _Account) -> None:
         del self._accounts[name]
-        if account.asked is not None:
-            self._asked.pop(account.asked.number, None)
+        if account.pending is not None:
+            self._pending.pop(account.pending.ask_id, None)
 
 
-def _elsewhere(account: _Account, asked: _Asked) -> Ask:
-    return Ask(asked.keeper, {**_question(account, asked.number, 0, 0), "elsewhere": True})
+def _ask_elsewhere(account: _Account, pending: _PendingAsk) -> Ask:
+    return Ask(pending.server, {**_credit_ask(account, pending.ask_id, 0, 0), "elsewhere": True})
 
 
-def _question(account: _Account, number: int, want: int, lends_ms: int) -> CreditAsk:
+def _credit_ask(account: _Account, ask_id: int, want: int, lends_ms: int) -> CreditAsk:
     name = account.customer.name
     return {
-        "ask": number,
+        "ask": ask_id,
         "customer": name,
         "want": want,
         "lends_ms": lends_ms,
--- a/foldhoist/customers/directory.py
+++ b/foldhoist/customers/directory.py
@@ -33,7 +33,7 @@
         return self.rate_per_s > 0
 
     @property
-    def most(self) -> float:
+    def max_credit(self) -> float:
         """Return the calls that may run at once after a while without any."""
         return max(1.0, self.burst)
 
@@ -93,12 +93,12 @@
                 self._by_digest[digest] = customer
 
     @property
-    def any(self) -> bool:
+    def has_customers(self) -> bool:
         """Return whether there are customers: then calls need a key."""
         return bool(self._by_name)
 
     @property
-    def any_limited(self) -> bool:
+    def has_limited(self) -> bool:
         """Return whether a customer has a quota."""
         return any(customer.limited for customer in self._by_name.values())
 
--- a/foldhoist/daemon/quota_task.py
+++ b/foldhoist/daemon/quota_task.py
@@ -7,8 +7,8 @@
 
 from loguru import logger
 
-from foldhoist.customers.keeper import Hosts, Keeper
-from foldhoist.customers.seats import seats
+from foldhoist.customers.candidates import quota_server_candidates
+from foldhoist.customers.quota_server import Hosts, QuotaServer
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -39,7 +39,7 @@
     ) -> None:
         """`known` returns the other hosts; `on_seats` is told which hosts keep quotas, if any."""
         self.name = name
-        self.keeper = Keeper(name, slack)
+        self.keeper = QuotaServer(name, slack)
         self._links = links
         self._ingress_task = ingress_task
         self._owner_task = owner_task
@@ -53,10 +53,10 @@
         """Take over the customers of the configuration that the ingress has in force."""
         customers = self._ingress_task.ingress.entrance.customers
         self.keeper.adopt(self._loop.time(), customers)
-        if customers.any_limited and self._task is None:
+        if customers.has_limited and self._task is None:
             logger.info("quotas are kept: {} customers", len(list(customers.customers())))
             self._task = self._loop.create_task(self._look())
-        elif not customers.any_limited and self._task is not None:
+        elif not customers.has_limited and self._task is not None:
             logger.info("quotas are not kept any more")
             self.close()
             self._hosts = frozenset()
@@ -71,7 +71,7 @@
     def asked(self, link: int, ask: CreditAsk) -> None:
         """Answer an ingress that asks for credit."""
         host = self._owner_task.owner.peer_name(link)
-        credit = self.keeper.asked(self._loop.time(), host, ask)
+        credit = self.keeper.on_ask(self._loop.time(), host, ask)
         if ask["elsewhere"]:
             logger.info("host {} asks another keeper of quotas: no answer came in time", host)
             return
@@ -85,7 +85,7 @@
             customer = customers.named(name)
             if customer is None:
                 continue
-            row = {"customer": name, "left": left, "burst": customer.most}
+            row = {"customer": name, "left": left, "burst": customer.max_credit}
             rows.append({**row, "rate_per_s": customer.rate_per_s})
         return sorted(rows, key=lambda row: float(row["left"] / row["burst"]))[:MOST_SHOWN]
 
@@ -96,7 +96,7 @@
             "asked": book.asks,
             "denied": self.keeper.denied,
             "late": book.late,
-            "lent": self.keeper.lent,
+            "lent": self.keeper.granted,
             "unanswered": book.unanswered,
         }
 
@@ -111,15 +111,15 @@
         """Take over which hosts there are now."""
         hosts = frozenset((self.name, *self._known()))
         connected = {name for _, name in self._owner_task.ingresses()}
-        self.keeper.see(self._loop.time(), Hosts(hosts, connected, self._links.open()))
+        self.keeper.update_hosts(self._loop.time(), Hosts(hosts, connected, self._links.open()))
         if hosts != self._hosts:
             self._hosts = hosts
             self._place(hosts)
 
     def _place(self, hosts: frozenset[str]) -> None:
         """Tell this host's ingress, and whoever connects with them, who keeps quotas."""
-        self._ingress_task.ingress.gate.credits.place(hosts)
-        placed = frozenset(seats(hosts))
+        self._ingress_task.ingress.gate.credits.set_hosts(hosts)
+        placed = frozenset(quota_server_candidates(hosts))
         keeps = "keeps" if self.name in placed else "does not keep"
         logger.info("quotas are kept by {} hosts; this one {} some", len(placed), keeps)
         self._on_seats(placed)
--- a/foldhoist/delivery/entrance.py
+++ b/foldhoist/delivery/entrance.py
@@ -101,7 +101,7 @@
         What tells whose call it is stays here where there are customers, and travels with the
         request where there are none.
         """
-        if self.customers.any or not req.withheld:
+        if self.customers.has_customers or not req.withheld:
             return req._replace(withheld=())
         return req._replace(headers=[*req.headers, *req.withheld], withheld=())
 
--- a/foldhoist/delivery/quota_gate.py
+++ b/foldhoist/delivery/quota_gate.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple, TypeAlias
 
-from foldhoist.customers.credit import OVER_QUOTA, Ask, CreditBook, Denied, Granted
+from foldhoist.customers.credit import OVER_QUOTA, Ask, CreditClient, Denied, Granted
 from foldhoist.delivery.call import Outgoing, SendTo
 from foldhoist.delivery.verdict import NotRun
 
@@ -43,7 +43,7 @@
     """Calls that wait for credit, and what becomes of it; times are monotonic seconds."""
 
     def __init__(self, book: CallBook, count: Counters, rng: Random) -> None:
-        self.credits = CreditBook(rng)
+        self.credits = CreditClient(rng)
         self._book = book
         self._count = count
 
@@ -55,15 +55,15 @@
         """Let a call that is in the book run, wait for credit, or be refused."""
         if call.customer is None or not call.customer.limited:
             return [Begin(call)]
-        return self._passed(self.credits.take(now, call.customer, call.call_id))
+        return self._passed(self.credits.admit(now, call.customer, call.call_id))
 
     def credited(self, now: float, message: Credit) -> list[Passed]:
         """Take in what a keeper lends."""
-        return self._passed(self.credits.answered(now, message))
+        return self._passed(self.credits.on_credit(now, message))
 
     def linked(self, now: float, host: str, *, up: bool) -> list[Passed]:
         """Take in that a host is connected, or not any more."""
-        return self._passed(self.credits.up(now, host, up=up))
+        return self._passed(self.credits.link_changed(now, host, up=up))
 
     def tick(self, now: float) -> list[Passed]:
         """End waits for keepers that do not answer."""
@@ -80,7 +80,7 @@
         if not call.begun:
             self.credits.withdraw(call.customer, call.call_id)
         elif not ran:
-            self.credits.give_back(now, call.customer)
+            self.credits.return_credit(now, call.customer)
 
     # Steps
 
--- a/tests/unit/customers/test_directory.py
+++ b/tests/unit/customers/test_directory.py
@@ -58,7 +58,7 @@
 
 def test_where_there_are_no_customers_no_key_is_needed() -> None:
     directory = Directory(fleet(""))
-    assert not directory.any
+    assert not directory.has_customers
     assert directory.identify("", is_open=False) == Identified(None)
 
 
--- a/tests/unit/customers/test_quota_histories.py
+++ b/tests/unit/customers/test_quota_histories.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from foldhoist.customers import credit, keeper
+from foldhoist.customers import candidates, credit, quota_server
 from tests.unit.customers.world import NAME, World, allowed, most_in_a_window
 
 HOSTS = 12
@@ -32,7 +32,7 @@
     rng = random.Random(seed)
     while made.now < 23.0:
         made.play(made.now + rng.uniform(0.2, 1.5), HOT_PER_S)
-        order = keeper.keepers(NAME, made.hosts["h0"].book._seats)
+        order = candidates.ranked_servers(NAME, made.hosts["h0"].client._candidates)
         name = order[0] if rng.random() < 0.5 else rng.choice(made.names)
         match rng.randrange(6):
             case 0:
@@ -96,7 +96,7 @@
 def test_callers_of_a_keeper_that_is_gone_are_served_again_soon() -> None:
     made = world(5)
     made.play(6.0, RATE / 1.6)
-    order = keeper.keepers(NAME, made.hosts["h0"].book._seats)
+    order = candidates.ranked_servers(NAME, made.hosts["h0"].client._candidates)
     made.kill(order[0], 30.0)
     made.play(7.5, RATE / 1.6)
     denied, asked = made.denied, made.asked
@@ -110,10 +110,10 @@
     return {**found, "lends_ms": 10_000}
 
 
-question = credit._question
+question = credit._credit_ask
 MUTANTS = {
-    "a share is lent once": (credit, "_question", lends_what_others_had),
-    "a new keeper begins with a part of the slack": (keeper, "BEGINS_WITH", 1e9),
+    "a share is lent once": (credit, "_credit_ask", lends_what_others_had),
+    "a new keeper begins with a part of the slack": (quota_server, "INITIAL_SLACK_SHARE", 1e9),
 }
 
 
--- a/tests/unit/customers/world.py
+++ b/tests/unit/customers/world.py
@@ -6,9 +6,9 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from foldhoist.customers.credit import Ask, CreditBook, Denied, Granted
+from foldhoist.customers.credit import Ask, CreditClient, Denied, Granted
 from foldhoist.customers.directory import Customer, Directory
-from foldhoist.customers.keeper import Hosts, Keeper
+from foldhoist.customers.quota_server import Hosts, QuotaServer
 
 if TYPE_CHECKING:
     from foldhoist.customers.credit import Step
@@ -50,8 +50,8 @@
 
     def __init__(self, name: str, seed: int, now: float) -> None:
         self.name = name
-        self.book = CreditBook(random.Random(f"{name} {seed}"))
-        self.keeper = Keeper(name, SLACK)
+        self.client = CreditClient(random.Random(f"{name} {seed}"))
+        self.server = QuotaServer(name, SLACK)
         self.look_at = now
         self.frozen_until = 0.0
         self.down_until = 0.0
@@ -80,8 +80,8 @@
     # Failures
 
     def start(self, host: Host) -> None:
-        host.book.place(self.names)
-        host.keeper.adopt(self.now, self.directory)
+        host.client.set_hosts(self.names)
+        host.server.adopt(self.now, self.directory)
 
     def kill(self, name: str, down_s: float) -> None:
         self.lives += 1
@@ -106,8 +106,8 @@
     def lower(self, rate: float, burst: float) -> None:
         self.directory = Directory(fleet_of(rate, burst))
         for host in self.hosts.values():
-            host.keeper.adopt(self.now, self.directory)
-            self.carry_out(host, host.book.adopt(self.now, self.directory))
+            host.server.adopt(self.now, self.directory)
+            self.carry_out(host, host.client.adopt(self.now, self.directory))
 
     # Time
 
@@ -132,7 +132,7 @@
         self.asked += 1
         customer = self.directory.named(NAME)
         assert isinstance(customer, Customer)
-        self.carry_out(host, host.book.take(self.now, customer, self.asked))
+        self.carry_out(host, host.client.admit(self.now, customer, self.asked))
 
     def runs_now(self, host: Host) -> bool:
         return self.now >= host.down_until and self.now >= host.frozen_until
@@ -141,12 +141,12 @@
         inbox, host.inbox = host.inbox, []
         for each in inbox:
             self.receive(host, each)
-        self.carry_out(host, host.book.tick(self.now))
+        self.carry_out(host, host.client.tick(self.now))
         if self.now >= host.look_at:
             host.look_at = self.now + LOOK_S
             connected = {one for one, other in self.linked if other == host.name}
             reached = {other for one, other in self.linked if one == host.name}
-            host.keeper.see(self.now, Hosts(set(self.names), connected, reached))
+            host.server.update_hosts(self.now, Hosts(set(self.names), connected, reached))
 
     def keep_links(self) -> None:
         for one in self.names:
@@ -156,7 +156,7 @@
                 through = alive and frozenset(pair) not in self.cut
                 if through and pair not in self.linked and self.runs_now(self.hosts[one]):
                     self.linked[pair] = self.now
-                    self.hosts[one].book.up(self.now, other, up=True)
+                    self.hosts[one].client.link_changed(self.now, other, up=True)
                 elif through and pair in self.linked:
                     self.linked[pair] = self.now
                 elif pair in self.linked and self.now - self.linked[pair] > NOTICED_S:
@@ -165,7 +165,9 @@
     def lose(self, pair: tuple[str, str]) -> None:
         del self.linked[pair]
         one, other = pair
-        self.carry_out(self.hosts[one], self.hosts[one].book.up(self.now, other, up=False))
+        self.carry_out(
+            self.hosts[one], self.hosts[one].client.link_changed(self.now, other, up=False)
+        )
 
     def deliver(self) -> None:
         due, self.sent = split_by(self.sent, self.now)
@@ -175,9 +177,9 @@
 
     def receive(self, host: Host, each: Sent) -> None:
         if each.kind == "Credit":
-            self.carry_out(host, host.book.answered(self.now, each.body))
+            self.carry_out(host, host.client.on_credit(self.now, each.body))
             return
-        credit = host.keeper.asked(self.now, each.source, each.body)
+        credit = host.server.on_ask(self.now, each.source, each.body)
         if not each.body["elsewhere"]:
             self.send(host.name, each.source, "Credit", credit)
 
@@ -187,8 +189,8 @@
     def carry_out(self, host: Host, steps: list[Step]) -> None:
         for step in steps:
             match step:
-                case Ask(keeper, message):
-                    self.send(host.name, keeper, "CreditAsk", message)
+                case Ask(server, message):
+                    self.send(host.name, server, "CreditAsk", message)
                 case Granted():
                     self.runs.append(self.now)
                 case Denied():
--- a/tests/unit/delivery/test_quota_gate.py
+++ b/tests/unit/delivery/test_quota_gate.py
@@ -21,7 +21,7 @@
     fleet, faults = parse_fleet(fleet_text(3) + CUSTOMER, "x")
     assert not faults
     ingress.entrance.adopt(fleet)
-    ingress.gate.credits.place([*fleet["targets"], "me"])
+    ingress.gate.credits.set_hosts([*fleet["targets"], "me"])
     return ingress
 
 
