--- a/bench/capacity_slopes.py
+++ b/bench/capacity_slopes.py
@@ -17,7 +17,7 @@
 from bench.publish import publish
 from foldhoist.config.fleet import SectionCache, parse_fleet
 from foldhoist.configlog.fold import State, digest_of, to_snapshot
-from foldhoist.configlog.spread import place_of
+from foldhoist.configlog.spread import role_of
 from foldhoist.delivery.codec import encode
 from foldhoist.delivery.keys import KeyTable
 from foldhoist.delivery.verdict import Response
@@ -177,7 +177,7 @@
         def place(fleet: Any = fleet, name: str = name, by_centre: Any = by_centre) -> None:
             tracked_by(fleet, name, "a")
             homes(fleet)
-            place_of(name, by_centre, "a", 2, 8)
+            role_of(name, by_centre, "a", 2, 8)
 
         place_ms.append(_best_us(place, 1, 3) / 1000)
         state = State(1, digest_of(text), text, 1)
--- a/bench/publish.py
+++ b/bench/publish.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from foldhoist.configlog.fold import digest_of
-from foldhoist.configlog.publisher import new_id
+from foldhoist.configlog.publisher import new_publish_id
 from foldhoist.logservice.client import PlatformClient, pack_publish
 from foldhoist.logservice.state import read_state
 
@@ -19,7 +19,7 @@
     client = PlatformClient(fleet.platform_address, "configuration")
     state = (await read_state(client)).ok
     body = {
-        "publish_id": new_id(state, str(time.time_ns())),
+        "publish_id": new_publish_id(state, str(time.time_ns())),
         "base": state.generation,
         "base_digest": state.digest,
         "digest": digest_of(text),
--- a/foldhoist/commands/apply.py
+++ b/foldhoist/commands/apply.py
@@ -30,8 +30,8 @@
     Rejected,
     Step,
     Unknown,
-    base_of,
-    new_id,
+    base_generation,
+    new_publish_id,
 )
 from foldhoist.exceptions import UnreachableError, UsageError
 from foldhoist.logservice.client import PlatformClient, pack_publish
@@ -75,7 +75,7 @@
     if fleet is None:
         print_faults(faults, as_json=json)
         return EXIT_FAULTS
-    if id and base_of(id) is None:
+    if id and base_generation(id) is None:
         raise UsageError(f"{id} is no publish id; give the one that an earlier run printed")
     proposal = Proposal(file, text, fleet, log, stream, daemon, base)
     publish_id, ended = asyncio.run(_apply(proposal, id))
@@ -111,7 +111,7 @@
             return "", rejected
         if proposal.base < 0:
             _tell_changes(state, proposal)
-    publish_id = earlier_id or new_id(state or State(), secrets.token_hex(8))
+    publish_id = earlier_id or new_publish_id(state or State(), secrets.token_hex(8))
     publisher = Publisher(publish_id, proposal.text)
     return publish_id, await _publish(client, publisher, state, proposal.daemon)
 
--- a/foldhoist/configlog/evacuations.py
+++ b/foldhoist/configlog/evacuations.py
@@ -17,10 +17,10 @@
     """An operator's record: nothing goes to the upstreams of a data centre, or that has ended."""
 
     data_centre: str
-    stands: bool
+    in_force: bool
 
 
-class Told(NamedTuple):
+class StoredEvacuations(NamedTuple):
     """Evacuations as the store tells them.
 
     `records` are all that stand below the offset `at` if they are `whole`, else what was written
@@ -28,7 +28,7 @@
     """
 
     at: int
-    whole: bool
+    complete: bool
     records: tuple[Evacuation, ...]
 
 
@@ -39,33 +39,33 @@
         self.at = 0
         self.data_centres: frozenset[str] = frozenset()
 
-    def read(self, told: Told) -> bool:
+    def apply_stored(self, stored: StoredEvacuations) -> bool:
         """Take in what the store tells; returns whether other data centres are evacuated now.
 
         News may begin below the offset that is known, from a peer. Taking them in again ends at the
         same state, since the last record of each data centre counts.
         """
-        if told.at <= self.at:
+        if stored.at <= self.at:
             return False
-        names = set() if told.whole else set(self.data_centres)
-        for record in told.records:
-            if record.stands:
+        names = set() if stored.complete else set(self.data_centres)
+        for record in stored.records:
+            if record.in_force:
                 names.add(record.data_centre)
             else:
                 names.discard(record.data_centre)
-        return self._take(told.at, frozenset(names))
+        return self._set(stored.at, frozenset(names))
 
-    def heard(self, evacuated: Evacuated) -> bool:
+    def apply_peer(self, evacuated: Evacuated) -> bool:
         """Take in what a peer holds; returns whether other data centres are evacuated now."""
         if evacuated["at"] <= self.at:
             return False
-        return self._take(evacuated["at"], frozenset(evacuated["data_centres"]))
+        return self._set(evacuated["at"], frozenset(evacuated["data_centres"]))
 
     def as_message(self) -> Evacuated:
         """Return what peers are told."""
         return {"at": self.at, "data_centres": sorted(self.data_centres)}
 
-    def _take(self, at: int, data_centres: frozenset[str]) -> bool:
+    def _set(self, at: int, data_centres: frozenset[str]) -> bool:
         changed = data_centres != self.data_centres
         self.at = at
         self.data_centres = data_centres
--- a/foldhoist/configlog/fold.py
+++ b/foldhoist/configlog/fold.py
@@ -14,7 +14,7 @@
 
     from foldhoist.schema.messages import Outcome, Publish, Snapshot
 
-MOST_OUTCOMES = 64
+MAX_OUTCOMES = 64
 """Outcomes of publish ids that a state remembers."""
 
 
@@ -36,14 +36,14 @@
     body: Publish
 
 
-class KeepRecord(NamedTuple):
+class SnapshotRecord(NamedTuple):
     """A state that a daemon wrote again, at an offset of the log."""
 
     offset: int
     body: Snapshot
 
 
-LogRecord: TypeAlias = PublishRecord | KeepRecord
+LogRecord: TypeAlias = PublishRecord | SnapshotRecord
 
 
 def digest_of(content: str) -> str:
@@ -83,7 +83,7 @@
     return None
 
 
-def anchor(records: Sequence[LogRecord], oldest: int) -> State:
+def initial_state(records: Sequence[LogRecord], oldest: int) -> State:
     """Return where a reader without state starts: `records` are all that the log keeps.
 
     With every record kept that is the empty state; else it is the first kept state that is exact
@@ -93,7 +93,7 @@
         return State()
     for record in records:
         match record:
-            case KeepRecord(_, body) if body["exact"] and body["folded"] >= oldest:
+            case SnapshotRecord(_, body) if body["exact"] and body["folded"] >= oldest:
                 if body["digest"] == digest_of(body["content"]):
                     return from_snapshot(body)
     return State(folded=oldest, exact=False)
@@ -101,7 +101,7 @@
 
 def fold_all(records: Sequence[LogRecord], oldest: int) -> State:
     """Return the state that all the records that a log keeps add up to."""
-    state = anchor(records, oldest)
+    state = initial_state(records, oldest)
     for record in records:
         state = fold(state, record)
     return state
@@ -139,15 +139,15 @@
     match record:
         case PublishRecord(offset, body):
             state = _fold_publish(state, body)
-        case KeepRecord(offset, body):
-            state = _fold_keep(state, body, offset)
+        case SnapshotRecord(offset, body):
+            state = _fold_snapshot(state, body, offset)
     return state._replace(folded=offset + 1)
 
 
 def _fold_publish(state: State, body: Publish) -> State:
     if not state.exact or outcome_of(state, body["publish_id"]) is not None:
         return state
-    reason = _fault(state, body)
+    reason = _rejection_reason(state, body)
     if reason:
         return _with_outcome(state, body["publish_id"], 0, reason)
     accepted = state._replace(
@@ -156,7 +156,7 @@
     return _with_outcome(accepted, body["publish_id"], accepted.generation, "")
 
 
-def _fault(state: State, body: Publish) -> str:
+def _rejection_reason(state: State, body: Publish) -> str:
     if body["digest"] != digest_of(body["content"]):
         return "the content does not match its digest"
     if body["base"] != state.generation or body["base_digest"] != state.digest:
@@ -164,17 +164,17 @@
     return ""
 
 
-def _fold_keep(state: State, body: Snapshot, offset: int) -> State:
+def _fold_snapshot(state: State, body: Snapshot, offset: int) -> State:
     if body["digest"] != digest_of(body["content"]):
         return state
-    kept = from_snapshot(body)
-    if not state.exact and kept.exact and kept.folded >= offset:
-        return kept if kept.generation >= state.generation else state
-    if kept.generation > state.generation:
-        return kept._replace(exact=False)
+    stored = from_snapshot(body)
+    if not state.exact and stored.exact and stored.folded >= offset:
+        return stored if stored.generation >= state.generation else state
+    if stored.generation > state.generation:
+        return stored._replace(exact=False)
     return state
 
 
 def _with_outcome(state: State, publish_id: str, generation: int, reason: str) -> State:
     outcome: Outcome = {"publish_id": publish_id, "generation": generation, "reason": reason}
-    return state._replace(outcomes=(*state.outcomes, outcome)[-MOST_OUTCOMES:])
+    return state._replace(outcomes=(*state.outcomes, outcome)[-MAX_OUTCOMES:])
--- a/foldhoist/configlog/publisher.py
+++ b/foldhoist/configlog/publisher.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from foldhoist.schema.messages import Publish
 
-MOST_APPENDS = 5
+MAX_APPENDS = 5
 """Appends of one proposal, the first included; all carry one publish id."""
 
 
@@ -40,12 +40,12 @@
 Step: TypeAlias = Append | Accepted | Rejected | Unknown
 
 
-def new_id(base: State, unique: str) -> str:
+def new_publish_id(base: State, unique: str) -> str:
     """Return a publish id; it names the generation that the proposal is based on."""
     return f"{base.generation}-{unique}"
 
 
-def base_of(publish_id: str) -> int | None:
+def base_generation(publish_id: str) -> int | None:
     """Return the generation that a publish id is based on, or None if it is no publish id."""
     number, dash, _ = publish_id.partition("-")
     return int(number) if dash and number.isdigit() else None
@@ -57,7 +57,7 @@
     def __init__(self, publish_id: str, content: str) -> None:
         self.publish_id = publish_id
         self._content = content
-        self._base = base_of(publish_id)
+        self._base = base_generation(publish_id)
         self._appends = 0
 
     def next(self, state: State | None) -> Step:
@@ -75,7 +75,7 @@
             return Unknown(
                 f"generation {state.generation} is in force, and what became of the id is forgotten"
             )
-        if self._appends >= MOST_APPENDS:
+        if self._appends >= MAX_APPENDS:
             return Unknown("the log did not show the proposal")
         self._appends += 1
         return Append(self._record(state))
--- a/foldhoist/configlog/spread.py
+++ b/foldhoist/configlog/spread.py
@@ -16,104 +16,108 @@
     from foldhoist.schema.messages import Held
 
 
-SENIORS = 6
+PREFERRED_PEERS = 6
 """Daemons of each data centre, first in its order, that the others ask."""
-RANDOM_SHARE = 0.25
+RANDOM_PEER_SHARE = 0.25
 """Share of questions that go to anybody of the data centre."""
-SILENT = 2
+MAX_UNANSWERED = 2
 """Questions in a row without an answer after which a peer is passed over for a while."""
 SILENT_S = 10.0
 """How long a silent peer is passed over, seconds."""
-PATIENCE = 2.5
+MAX_AGE_INTERVALS = 2.5
 """A daemon reads the log itself when what it hears of it is older than this many questions."""
-PATIENCE_RANK = 0.05
+MAX_AGE_INTERVALS_PER_RANK = 0.05
 """For each place behind the readers it waits this many questions longer."""
 
 
-class Place(NamedTuple):
+class Role(NamedTuple):
     """One daemon's place in the spread; everyone with the same configuration finds the same."""
 
     rank: int
     reader: bool
     children: tuple[str, ...]
-    seniors: tuple[str, ...]
+    preferred: tuple[str, ...]
     others: tuple[str, ...]
 
 
-NOWHERE = Place(0, True, (), (), ())
+UNLISTED = Role(0, True, (), (), ())
 """The place of a daemon without configuration: it reads the log."""
 
 
-def place_of(
-    name: str, by_data_centre: Mapping[str, list[str]], own: str, readers: int, fanout: int
-) -> Place:
+def role_of(
+    name: str,
+    by_data_centre: Mapping[str, list[str]],
+    own_data_centre: str,
+    readers: int,
+    fanout: int,
+) -> Role:
     """Return a daemon's place: readers push to the others through a tree with this fan-out."""
-    order = ranked(by_data_centre.get(own, []), own)
+    order = ranked(by_data_centre.get(own_data_centre, []), own_data_centre)
     others = tuple(each for each in order if each != name)
     if name not in order:
-        return Place(len(order), True, (), others[:SENIORS], others)
+        return Role(len(order), True, (), others[:PREFERRED_PEERS], others)
     at = order.index(name)
     first = readers + at * fanout
     children = tuple(order[first : first + fanout])
-    seniors = [*_parent(order, at, readers, fanout), *order[:SENIORS]]
-    if at < SENIORS:
-        seniors += _far_seniors(by_data_centre, own)
-    asked = tuple(dict.fromkeys(each for each in seniors if each != name))
-    return Place(at, at < readers, children, asked, others)
+    preferred = [*_parent(order, at, readers, fanout), *order[:PREFERRED_PEERS]]
+    if at < PREFERRED_PEERS:
+        preferred += _remote_preferred(by_data_centre, own_data_centre)
+    asked = tuple(dict.fromkeys(each for each in preferred if each != name))
+    return Role(at, at < readers, children, asked, others)
 
 
-class Peers:
+class PeerSelector:
     """Whom to ask next, and what the answers tell of the log; `now` is monotonic seconds."""
 
-    def __init__(self, name: str, ask_s: float, rng: Random) -> None:
+    def __init__(self, name: str, ask_interval_s: float, rng: Random) -> None:
         self.name = name
-        self.ask_s = ask_s
-        self.place = NOWHERE
+        self.ask_interval_s = ask_interval_s
+        self.role = UNLISTED
         self._rng = rng
         self._unanswered: dict[str, int] = {}
         self._silent_until: dict[str, float] = {}
-        self._fresh_at = float("-inf")
-        self._reader = ""
+        self._log_read_at = float("-inf")
+        self._log_reader = ""
 
-    def next(self, now: float) -> str | None:
+    def next_peer(self, now: float) -> str | None:
         """Return the peer to ask now, or None if there is none."""
-        anybody = self._rng.random() < RANDOM_SHARE
-        names = self.place.others if anybody else self.place.seniors
-        willing = self._not_silent(names, now) or self._not_silent(self.place.others, now)
-        if not willing:
-            willing = [*self.place.others]
-        if not willing:
+        anybody = self._rng.random() < RANDOM_PEER_SHARE
+        names = self.role.others if anybody else self.role.preferred
+        candidates = self._not_silent(names, now) or self._not_silent(self.role.others, now)
+        if not candidates:
+            candidates = [*self.role.others]
+        if not candidates:
             return None
-        asked = willing[int(self._rng.random() * len(willing))]
-        self._ask(asked, now)
+        asked = candidates[int(self._rng.random() * len(candidates))]
+        self._count_ask(asked, now)
         return asked
 
-    def some(self, count: int) -> list[str]:
+    def sample(self, count: int) -> list[str]:
         """Return some peers of the data centre, drawn by lot."""
-        others = self.place.others
+        others = self.role.others
         return self._rng.sample(others, min(count, len(others)))
 
-    def answered(self, now: float, held: Held, behind: bool) -> None:
+    def on_answer(self, now: float, held: Held, behind: bool) -> None:
         """Take in an answer; one of a peer that is `behind` tells nothing of the log."""
         self._unanswered.pop(held["name"], None)
         self._silent_until.pop(held["name"], None)
         if behind or not held["reader"] or held["reader"] == self.name:
             return
         at = now - held["age_ms"] / 1000
-        if at > self._fresh_at:
-            self._fresh_at = at
-            self._reader = held["reader"]
+        if at > self._log_read_at:
+            self._log_read_at = at
+            self._log_reader = held["reader"]
 
-    def reads(self, now: float) -> bool:
+    def should_read(self, now: float) -> bool:
         """Return whether this daemon reads the log: by its place, or since others seem not to."""
-        if self.place.reader:
+        if self.role.reader:
             return True
-        patience = PATIENCE + PATIENCE_RANK * self.place.rank
-        return now - self._fresh_at > patience * self.ask_s
+        intervals = MAX_AGE_INTERVALS + MAX_AGE_INTERVALS_PER_RANK * self.role.rank
+        return now - self._log_read_at > intervals * self.ask_interval_s
 
     def freshness(self, now: float, own_read: float) -> tuple[str, int]:
         """Return who read the log last, and how long ago in milliseconds."""
-        at, reader = self._fresh_at, self._reader
+        at, reader = self._log_read_at, self._log_reader
         if own_read > at:
             at, reader = own_read, self.name
         if not reader:
@@ -123,10 +127,10 @@
     def _not_silent(self, names: tuple[str, ...], now: float) -> list[str]:
         return [each for each in names if self._silent_until.get(each, 0.0) <= now]
 
-    def _ask(self, name: str, now: float) -> None:
+    def _count_ask(self, name: str, now: float) -> None:
         count = self._unanswered.get(name, 0) + 1
         self._unanswered[name] = count
-        if count >= SILENT:
+        if count >= MAX_UNANSWERED:
             self._silent_until[name] = now + SILENT_S
 
 
@@ -136,9 +140,9 @@
     return [order[(at - readers) // fanout]]
 
 
-def _far_seniors(by_data_centre: Mapping[str, list[str]], own: str) -> list[str]:
-    far: list[str] = []
+def _remote_preferred(by_data_centre: Mapping[str, list[str]], own_data_centre: str) -> list[str]:
+    remote: list[str] = []
     for data_centre, names in sorted(by_data_centre.items()):
-        if data_centre != own:
-            far += ranked(names, data_centre)[:2]
-    return far
+        if data_centre != own_data_centre:
+            remote += ranked(names, data_centre)[:2]
+    return remote
--- a/foldhoist/configlog/versions.py
+++ b/foldhoist/configlog/versions.py
@@ -16,13 +16,13 @@
 
 READERS = 2
 """Daemons of each data centre that wait at the store."""
-TELL_S = 0.5
+REPORT_INTERVAL_S = 0.5
 """Time between two words of a reader to its data centre, seconds."""
-SILENT_S = 1.3
+REPORT_TIMEOUT_S = 1.3
 """A reader that has said nothing for this long does not count, seconds."""
-STEP_S = 0.25
+TAKEOVER_STEP_S = 0.25
 """Each place in the order waits this much longer before it steps in, seconds."""
-NEVER_MS = 3_600_000
+NO_ANSWER_AGE_MS = 3_600_000
 """Age told by a daemon that the store does not answer, milliseconds."""
 
 
@@ -45,7 +45,7 @@
     """It holds what is lacking here."""
 
 
-class Held:
+class CurrentVersion:
     """The version in force in one life of a daemon; it never goes back."""
 
     def __init__(self) -> None:
@@ -77,47 +77,47 @@
         return Reply.NUMBER if asked else Reply.NOTHING
 
 
-class Readers:
+class ReaderElection:
     """Who reads the store, as one daemon sees it; `now` is in seconds, monotonic."""
 
-    def __init__(self, name: str, longest_s: float) -> None:
+    def __init__(self, name: str, max_age_s: float) -> None:
         self.name = name
-        self._longest_s = longest_s
+        self._max_age_s = max_age_s
         self._order: list[str] = [name]
-        self._heard: dict[str, tuple[float, float]] = {}
+        self._reports: dict[str, tuple[float, float]] = {}
         self._uncovered_since: float | None = None
-        self._began: float | None = None
+        self._started_at: float | None = None
 
-    def place(self, names: Iterable[str]) -> None:
+    def set_peers(self, names: Iterable[str]) -> None:
         """Take over the daemons of this data centre, this one included."""
         names = list(names)
         if len(names) == len(self._order) and set(names) == set(self._order):
             return
         self._order = ranked(names, "readers")
 
-    def told(self, now: float, name: str, age_s: float) -> None:
+    def on_report(self, now: float, name: str, age_s: float) -> None:
         """Take in how long ago the store answered a peer."""
-        self._heard[name] = (now, age_s)
+        self._reports[name] = (now, age_s)
 
-    def reads(self, now: float) -> bool:
+    def should_read(self, now: float) -> bool:
         """Return whether this daemon is to wait at the store."""
-        if self._began is None:
-            self._began = now
-        place = self._order.index(self.name) if self.name in self._order else 0
-        if place < READERS:
+        if self._started_at is None:
+            self._started_at = now
+        rank = self._order.index(self.name) if self.name in self._order else 0
+        if rank < READERS:
             return True
         if self._covered(now):
             self._uncovered_since = None
             return False
         if self._uncovered_since is None:
             # A new life gives the readers the time between two words to tell that they read.
-            self._uncovered_since = max(now, self._began + TELL_S)
-        return now - self._uncovered_since >= (place - READERS) * STEP_S
+            self._uncovered_since = max(now, self._started_at + REPORT_INTERVAL_S)
+        return now - self._uncovered_since >= (rank - READERS) * TAKEOVER_STEP_S
 
     def _covered(self, now: float) -> bool:
-        for name, (heard_at, age_s) in self._heard.items():
-            if name not in self._order or now - heard_at > SILENT_S:
+        for name, (reported_at, age_s) in self._reports.items():
+            if name not in self._order or now - reported_at > REPORT_TIMEOUT_S:
                 continue
-            if age_s + (now - heard_at) <= self._longest_s:
+            if age_s + (now - reported_at) <= self._max_age_s:
                 return True
         return False
--- a/foldhoist/customers/quota_server.py
+++ b/foldhoist/customers/quota_server.py
@@ -111,7 +111,7 @@
     def __init__(self, name: str, slack: float = 0.0) -> None:
         self.name = name
         self.slack = slack
-        self.granted = 0
+        self.granted_total = 0
         self.denied = 0
         self._directory = Directory()
         self._buckets: dict[str, _Bucket] = {}
@@ -177,7 +177,7 @@
     def _grant(self, at: float, customer: Customer, bucket: _Bucket, ask: CreditAsk) -> Credit:
         granted = min(ask["want"], int(bucket.level))
         bucket.level -= granted
-        self.granted += granted
+        self.granted_total += granted
         missing = ask["want"] - granted
         retry_after_s = 0.0
         if missing:
--- a/foldhoist/daemon/configuration.py
+++ b/foldhoist/daemon/configuration.py
@@ -19,8 +19,8 @@
     merge,
     to_snapshot,
 )
-from foldhoist.configlog.keep import Keeper
-from foldhoist.configlog.spread import Peers, place_of
+from foldhoist.configlog.refresh import SnapshotRefresher
+from foldhoist.configlog.spread import PeerSelector, role_of
 from foldhoist.logservice.client import pack_keep, unpack
 from foldhoist.logservice.state import read_kept
 
@@ -71,7 +71,7 @@
         self.log_ok = False
         self.adopted_at = 0.0
         self.adopt_ms = 0.0
-        self.peers = Peers(cfg["daemon"]["name"], cfg["peers"]["ask_ms"] / 1000, rng)
+        self.peers = PeerSelector(cfg["daemon"]["name"], cfg["peers"]["ask_ms"] / 1000, rng)
         self._own_read = float("-inf")
         self._cfg = cfg
         self._client = client
@@ -79,7 +79,7 @@
         self._on_adopt = on_adopt
         self._rng = rng
         self._log_state = State(exact=False)
-        self._keeper = Keeper(cfg["platform"]["keep_s"], rng)
+        self._refresher = SnapshotRefresher(cfg["platform"]["keep_s"], rng)
         self._sections = SectionCache()
         self._tasks: list[asyncio.Task[None]] = []
 
@@ -111,7 +111,7 @@
     def on_held(self, held: Held) -> None:
         """Take in a peer's answer; what it knows of the log counts only if it is not behind."""
         behind = held["generation"] < self.state.generation
-        self.peers.answered(asyncio.get_running_loop().time(), held, behind)
+        self.peers.on_answer(asyncio.get_running_loop().time(), held, behind)
         if held["generation"] > self.state.generation and self.fleet is not None:
             target = self.fleet["targets"].get(held["name"])
             if target is not None:
@@ -123,7 +123,7 @@
         poll_s = self._cfg["platform"]["poll_ms"] / 1000
         while True:
             now = asyncio.get_running_loop().time()
-            if self.peers.reads(now) or not self.state.generation:
+            if self.peers.should_read(now) or not self.state.generation:
                 await self._read_once()
             await asyncio.sleep(poll_s * (0.75 + 0.5 * self._rng.random()))
 
@@ -169,7 +169,7 @@
 
     def _saw(self, record: LogRecord) -> None:
         now = asyncio.get_running_loop().time()
-        self._keeper.saw(now, record, self.state)
+        self._refresher.observe(now, record, self.state)
 
     async def _page(self, offset: int) -> Page | None:
         self.count.log_reads += 1
@@ -196,11 +196,11 @@
     async def _keep(self) -> None:
         now = asyncio.get_running_loop().time()
         state = self._log_state
-        if not self.log_ok or not self._keeper.is_due(now, state):
+        if not self.log_ok or not self._refresher.is_due(now, state):
             return
         if state.generation < self.state.generation:
             return
-        self._keeper.wrote(now)
+        self._refresher.write_attempted(now)
         await self._client.append(pack_keep(to_snapshot(state)))
         self.count.kept += 1
 
@@ -218,7 +218,7 @@
             if seeds:
                 self._ask(seeds[int(self._rng.random() * len(seeds))])
             return
-        partner = self.peers.next(asyncio.get_running_loop().time())
+        partner = self.peers.next_peer(asyncio.get_running_loop().time())
         target = self.fleet["targets"].get(partner) if partner else None
         if target is not None:
             self._ask(target["control"])
@@ -246,7 +246,7 @@
         """Tell some of the data centre which generation is held: a dead relay leaves gaps."""
         if self.fleet is None:
             return
-        for name in self.peers.some(ANNOUNCED):
+        for name in self.peers.sample(ANNOUNCED):
             target = self.fleet["targets"].get(name)
             if target is not None:
                 self._control.send(target["control"], "Held", self._held())
@@ -287,7 +287,7 @@
             if target["state"] != "retired":
                 by_data_centre.setdefault(target["data_centre"], []).append(name)
         daemon, peers = self._cfg["daemon"], self._cfg["peers"]
-        self.peers.place = place_of(
+        self.peers.role = role_of(
             daemon["name"], by_data_centre, daemon["data_centre"], peers["readers"], peers["fanout"]
         )
 
@@ -296,7 +296,7 @@
         if self.fleet is None:
             return
         snapshot = to_snapshot(state)
-        for name in self.peers.place.children:
+        for name in self.peers.role.children:
             control = self.fleet["targets"][name]["control"]
             if self._control.send(control, "Snapshot", snapshot):
                 self.count.passed_on += 1
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -16,7 +16,7 @@
 from foldhoist.admission.slots import Shape
 from foldhoist.config.fleet import evacuated, limits_of
 from foldhoist.config.reread import LIMITS, reread
-from foldhoist.configlog.versions import Readers
+from foldhoist.configlog.versions import ReaderElection
 from foldhoist.daemon.callers import CallerConnection, Shared
 from foldhoist.daemon.figures import traffic_counters, traffic_gauges
 from foldhoist.daemon.ingress_task import IngressTask
@@ -113,7 +113,7 @@
             self.quarantine,
             self.rng,
         )
-        self.readers = Readers(self.name, cfg["platform"]["wait_ms"] / 1000 + 1.5)
+        self.readers = ReaderElection(self.name, cfg["platform"]["wait_ms"] / 1000 + 1.5)
         self.versions = VersionsTask(
             self.adapter,
             self.store,
@@ -346,7 +346,7 @@
         self.peers.rewire_soon()
 
     def _on_rewired(self) -> None:
-        self.readers.place([self.name, *self.registry.neighbours.centre()])
+        self.readers.set_peers([self.name, *self.registry.neighbours.centre()])
         self._track()
 
     def _track(self) -> None:
--- a/foldhoist/daemon/operators.py
+++ b/foldhoist/daemon/operators.py
@@ -94,7 +94,7 @@
         "configuration": describe(state),
         "adopted_at": daemon.configuration.adopted_at,
         "adopt_ms": daemon.configuration.adopt_ms,
-        "reader": daemon.configuration.peers.place.reader,
+        "reader": daemon.configuration.peers.role.reader,
         "log_reachable": daemon.configuration.log_ok,
         "load": daemon.owner.load(),
         "leaving_why": sorted(daemon.owner.standing.leaving_why),
--- a/foldhoist/daemon/ports.py
+++ b/foldhoist/daemon/ports.py
@@ -14,7 +14,7 @@
 
     from expression import Result
 
-    from foldhoist.configlog.evacuations import Told
+    from foldhoist.configlog.evacuations import StoredEvacuations
     from foldhoist.configlog.versions import Version
     from foldhoist.daemon.dialect import Dialect
     from foldhoist.membership.registry import Registration
@@ -34,7 +34,7 @@
     """What the operator has written: a newer configuration, if any, and evacuations."""
 
     version: Version | None
-    evacuations: Told
+    evacuations: StoredEvacuations
 
 
 class Store(Protocol):
--- a/foldhoist/daemon/quota_task.py
+++ b/foldhoist/daemon/quota_task.py
@@ -96,7 +96,7 @@
             "asked": book.asks,
             "denied": self.keeper.denied,
             "late": book.late,
-            "lent": self.keeper.granted,
+            "lent": self.keeper.granted_total,
             "unanswered": book.unanswered,
         }
 
--- a/foldhoist/daemon/versions_task.py
+++ b/foldhoist/daemon/versions_task.py
@@ -11,7 +11,14 @@
 
 from foldhoist.config.fleet import with_evacuated
 from foldhoist.configlog.evacuations import Evacuations
-from foldhoist.configlog.versions import NEVER_MS, TELL_S, Held, Readers, Reply, Version
+from foldhoist.configlog.versions import (
+    NO_ANSWER_AGE_MS,
+    REPORT_INTERVAL_S,
+    CurrentVersion,
+    ReaderElection,
+    Reply,
+    Version,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -73,13 +80,13 @@
         self,
         adapter: Adapter,
         store: Store,
-        readers: Readers,
+        readers: ReaderElection,
         wait_ms: int,
         on_adopt: Callable[[Version, Fleet], None],
         rng: Random,
     ) -> None:
         self.count = Counters()
-        self.held = Held()
+        self.held = CurrentVersion()
         self.evacuations = Evacuations()
         self.fleet: Fleet | None = None
         self.store_ok = False
@@ -128,7 +135,7 @@
 
     def on_fresh(self, name: str, message: Fresh) -> None:
         """Take in what a peer holds, and how recently the store answered it."""
-        self._readers.told(self._loop.time(), name, message["age_ms"] / 1000)
+        self._readers.on_report(self._loop.time(), name, message["age_ms"] / 1000)
         evacuated = message.get("evacuated")
         if evacuated is not None and self._hear(evacuated) and not self._peers.is_near(name):
             self._peers.tell("Fresh", self._fresh(wanted=False), near=True)
@@ -199,7 +206,7 @@
 
     def _is_reader(self) -> bool:
         now = self._loop.time()
-        return self._readers.reads(now) or (self.fleet is None and now >= self._alone_at)
+        return self._readers.should_read(now) or (self.fleet is None and now >= self._alone_at)
 
     async def _read_once(self) -> bool:
         self.count.store_reads += 1
@@ -214,7 +221,7 @@
         self._answered_at = self._loop.time()
         self._store_is(True)
         news = answer.ok
-        if self.evacuations.read(news.evacuations):
+        if self.evacuations.apply_stored(news.evacuations):
             self._evacuated()
             self._peers.tell("Fresh", self._fresh(wanted=False), near=True)
             self._pass_across()
@@ -251,7 +258,7 @@
 
     def _hear(self, evacuated: Evacuated) -> bool:
         """Take in what a peer holds; returns whether other data centres are evacuated now."""
-        if not self.evacuations.heard(evacuated):
+        if not self.evacuations.apply_peer(evacuated):
             return False
         self._evacuated()
         return True
@@ -297,23 +304,23 @@
 
     async def _tell(self) -> None:
         while True:
-            await asyncio.sleep(TELL_S)
-            if self.store_ok and self._readers.reads(self._loop.time()):
+            await asyncio.sleep(REPORT_INTERVAL_S)
+            if self.store_ok and self._readers.should_read(self._loop.time()):
                 self._peers.tell("Fresh", self._fresh(wanted=False), near=True)
 
     async def _ask(self) -> None:
         """While the store does not answer, ask any peer what it holds."""
         while True:
             await asyncio.sleep(ASK_S * (0.5 + self._rng.random()))
-            if self.store_ok or not self._readers.reads(self._loop.time()):
+            if self.store_ok or not self._readers.should_read(self._loop.time()):
                 continue
             self.count.asked += 1
             self._peers.ask_someone("Fresh", self._fresh(wanted=True))
 
     def _fresh(self, wanted: bool) -> Fresh:
-        age_ms = NEVER_MS
+        age_ms = NO_ANSWER_AGE_MS
         if self.store_ok:
-            age_ms = min(NEVER_MS, int((self._loop.time() - self._answered_at) * 1000))
+            age_ms = min(NO_ANSWER_AGE_MS, int((self._loop.time() - self._answered_at) * 1000))
         return {
             "version": self.version.number,
             "age_ms": age_ms,
--- a/foldhoist/logservice/client.py
+++ b/foldhoist/logservice/client.py
@@ -8,7 +8,7 @@
 from expression import Error, Ok, Result
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError, HTTPRequest
 
-from foldhoist.configlog.fold import KeepRecord, LogRecord, PublishRecord
+from foldhoist.configlog.fold import LogRecord, PublishRecord, SnapshotRecord
 from foldhoist.schema.messages import Publish, Snapshot
 
 REQUEST_S = 5.0
@@ -70,7 +70,7 @@
             case b"publish":
                 return PublishRecord(stored["offset"], _PUBLISHES.decode(fields))
             case b"keep":
-                return KeepRecord(stored["offset"], _KEEPS.decode(fields))
+                return SnapshotRecord(stored["offset"], _KEEPS.decode(fields))
     except msgspec.DecodeError:
         return None
     return None
--- a/tests/model/evacuations_spec.py
+++ b/tests/model/evacuations_spec.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from foldhoist.configlog.evacuations import Evacuation, Evacuations, Told
+from foldhoist.configlog.evacuations import Evacuation, Evacuations, StoredEvacuations
 from tests.model.checking import protocol
 
 if TYPE_CHECKING:
@@ -55,8 +55,8 @@
 
 def standing(log: tuple[Evacuation, ...]) -> frozenset[str]:
     """Return what stands after these records."""
-    last = {record.data_centre: record.stands for record in log}
-    return frozenset(name for name, stands in last.items() if stands)
+    last = {record.data_centre: record.in_force for record in log}
+    return frozenset(name for name, in_force in last.items() if in_force)
 
 
 def model(rules: Rules = Rules()) -> Protocol:  # noqa: B008
@@ -84,19 +84,19 @@
 def _reads(world: World, rules: Rules) -> list[Step]:
     end = len(world.log)
     left = tuple(Evacuation(name, True) for name in sorted(standing(world.log)))
-    whole = Told(end, rules.whole_replaces, left)
+    whole = StoredEvacuations(end, rules.whole_replaces, left)
     steps = [("reader: reads all", _read(world, whole, end, rules))]
     if world.position < 0:
         return steps
     for until in range(world.position + 1, end + 1):
-        told = Told(until, False, world.log[world.position : until])
+        told = StoredEvacuations(until, False, world.log[world.position : until])
         steps.append((f"reader: reads until {until}", _read(world, told, until, rules)))
     return steps
 
 
-def _read(world: World, told: Told, position: int, rules: Rules) -> World:
+def _read(world: World, told: StoredEvacuations, position: int, rules: Rules) -> World:
     held = _built(world.reader, rules, told.at)
-    held.read(told)
+    held.apply_stored(told)
     after = State(held.at, held.data_centres)
     back = world.went_back or after.at < world.reader.at
     sent = world.sent | {after}
@@ -108,7 +108,7 @@
     for message in sorted(world.sent, key=repr):
         for who, before in (("other", world.other), ("reader", world.reader)):
             held = _built(before, rules, message.at)
-            held.heard({"at": message.at, "data_centres": sorted(message.data_centres)})
+            held.apply_peer({"at": message.at, "data_centres": sorted(message.data_centres)})
             after = State(held.at, held.data_centres)
             back = world.went_back or after.at < before.at
             label = f"{who}: hears {message}"
--- a/tests/model/log_spec.py
+++ b/tests/model/log_spec.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from foldhoist.configlog import fold as real
-from foldhoist.configlog.fold import KeepRecord, PublishRecord, State, digest_of, to_snapshot
+from foldhoist.configlog.fold import PublishRecord, SnapshotRecord, State, digest_of, to_snapshot
 from tests.model.checking import protocol
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
     """The functions under check."""
 
     fold: Callable[..., State] = real.fold
-    anchor: Callable[..., State] = real.anchor
+    anchor: Callable[..., State] = real.initial_state
     merge: Callable[..., State] = real.merge
     base_from_any_state: bool = False
 
@@ -76,7 +76,7 @@
         _, name, base, base_digest = entry
         body = {"publish_id": name, "base": base, "base_digest": base_digest}
         return PublishRecord(offset, {**body, "digest": digest_of(name), "content": name})  # type: ignore[typeddict-item]
-    return KeepRecord(offset, to_snapshot(unpack(entry[1])))
+    return SnapshotRecord(offset, to_snapshot(unpack(entry[1])))
 
 
 @cache
--- a/tests/model/spread_spec.py
+++ b/tests/model/spread_spec.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from foldhoist.configlog.versions import Held, Reply, Version
+from foldhoist.configlog.versions import CurrentVersion, Reply, Version
 from tests.model.checking import protocol
 
 if TYPE_CHECKING:
@@ -52,9 +52,9 @@
 Step = tuple[str, World]
 
 
-def held_of(world: World, daemon: int) -> Held:
+def held_of(world: World, daemon: int) -> CurrentVersion:
     """Return what a daemon holds as the real object."""
-    held = Held()
+    held = CurrentVersion()
     held.adopt(Version(world.held[daemon], b""))
     if world.refused[daemon]:
         held.refuse(Version(world.refused[daemon], b""))
@@ -122,7 +122,7 @@
         if number == UNUSABLE and self.rules.whole_or_not:
             held.refuse(Version(number, b""))
             if not self.rules.refused_stays_refused:
-                held = Held()
+                held = CurrentVersion()
         else:
             held.adopt(Version(number, b""))
         now = held.version.number
--- a/tests/model/test_log_model.py
+++ b/tests/model/test_log_model.py
@@ -5,7 +5,7 @@
 import pytest
 
 from foldhoist.configlog import fold as real
-from foldhoist.configlog.fold import KeepRecord, PublishRecord, State, from_snapshot
+from foldhoist.configlog.fold import PublishRecord, SnapshotRecord, State, from_snapshot
 from tests.model.checking import holds, violated
 from tests.model.log_spec import LOST_ANSWER, THREE_RACE, Rules, specification
 
@@ -36,7 +36,7 @@
 
 def keep_is_always_exact(state: State, record: object) -> State:
     """Takes a state that was written again for the newest, whatever came in between."""
-    if isinstance(record, KeepRecord) and record.offset >= state.folded:
+    if isinstance(record, SnapshotRecord) and record.offset >= state.folded:
         kept = from_snapshot(record.body)
         return kept._replace(folded=record.offset + 1, exact=True)
     return real.fold(state, record)  # type: ignore[arg-type]
@@ -52,7 +52,7 @@
     if oldest == 0:
         return State()
     for record in records:
-        if isinstance(record, KeepRecord):
+        if isinstance(record, SnapshotRecord):
             return from_snapshot(record.body)._replace(exact=True, folded=oldest)
     return State(folded=oldest, exact=False)
 
--- a/tests/unit/configlog/test_evacuations.py
+++ b/tests/unit/configlog/test_evacuations.py
@@ -5,20 +5,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from foldhoist.configlog.evacuations import Evacuation, Evacuations, Told
+from foldhoist.configlog.evacuations import Evacuation, Evacuations, StoredEvacuations
 
 RECORDS = st.lists(st.builds(Evacuation, st.sampled_from("abc"), st.booleans()), max_size=12)
 
 
-def standing(records: list[Evacuation]) -> frozenset[str]:
+def evacuated_by(records: list[Evacuation]) -> frozenset[str]:
     """Return what stands after these records."""
-    last = {record.data_centre: record.stands for record in records}
-    return frozenset(name for name, stands in last.items() if stands)
+    last = {record.data_centre: record.in_force for record in records}
+    return frozenset(name for name, in_force in last.items() if in_force)
 
 
-def whole(records: list[Evacuation]) -> Told:
-    left = tuple(Evacuation(name, stands=True) for name in sorted(standing(records)))
-    return Told(len(records), True, left)
+def complete(records: list[Evacuation]) -> StoredEvacuations:
+    left = tuple(Evacuation(name, in_force=True) for name in sorted(evacuated_by(records)))
+    return StoredEvacuations(len(records), True, left)
 
 
 @given(RECORDS, st.data())
@@ -28,25 +28,25 @@
     """News are read from where the last read ended, also below what a peer has told meanwhile."""
     held = Evacuations()
     position = data.draw(st.integers(0, len(records)))
-    held.read(whole(records[:position]))
+    held.apply_stored(complete(records[:position]))
     while position < len(records):
         until = data.draw(st.integers(position + 1, len(records)))
         told_by_peer = data.draw(st.integers(0, len(records)))
-        names = sorted(standing(records[:told_by_peer]))
-        held.heard({"at": told_by_peer, "data_centres": names})
+        names = sorted(evacuated_by(records[:told_by_peer]))
+        held.apply_peer({"at": told_by_peer, "data_centres": names})
         before = held.at
-        held.read(Told(until, False, tuple(records[position:until])))
+        held.apply_stored(StoredEvacuations(until, False, tuple(records[position:until])))
         position = until
         assert held.at >= before
-        assert held.data_centres == standing(records[: held.at])
+        assert held.data_centres == evacuated_by(records[: held.at])
 
 
 def test_only_what_changes_is_news() -> None:
     held = Evacuations()
-    assert held.read(Told(3, True, (Evacuation("a", True),)))
-    assert not held.read(Told(4, False, (Evacuation("a", True),)))
-    assert not held.heard({"at": 9, "data_centres": ["a"]})
+    assert held.apply_stored(StoredEvacuations(3, True, (Evacuation("a", True),)))
+    assert not held.apply_stored(StoredEvacuations(4, False, (Evacuation("a", True),)))
+    assert not held.apply_peer({"at": 9, "data_centres": ["a"]})
     assert held.at == 9
-    assert not held.heard({"at": 8, "data_centres": []})
+    assert not held.apply_peer({"at": 8, "data_centres": []})
     assert held.data_centres == {"a"}
-    assert held.heard({"at": 10, "data_centres": []})
+    assert held.apply_peer({"at": 10, "data_centres": []})
--- a/tests/unit/configlog/test_fold.py
+++ b/tests/unit/configlog/test_fold.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from foldhoist.configlog.fold import (
-    KeepRecord,
     PublishRecord,
+    SnapshotRecord,
     State,
     digest_of,
     fold,
@@ -22,8 +22,8 @@
     Publisher,
     Rejected,
     Unknown,
-    base_of,
-    new_id,
+    base_generation,
+    new_publish_id,
 )
 
 
@@ -72,7 +72,7 @@
 
 def test_a_late_reader_starts_at_a_kept_state_and_is_exact() -> None:
     first = fold(State(), publish(0, State(), "a"))
-    keep = KeepRecord(1, to_snapshot(first))
+    keep = SnapshotRecord(1, to_snapshot(first))
     after = publish(2, first, "b")
     state = fold_all([keep, after], 1)
     assert (state.generation, state.exact) == (2, True)
@@ -80,7 +80,7 @@
 
 def test_a_late_reader_with_a_gap_accepts_nothing() -> None:
     first = fold(State(), publish(0, State(), "a"))
-    keep = KeepRecord(3, to_snapshot(first))
+    keep = SnapshotRecord(3, to_snapshot(first))
     state = fold_all([keep, publish(4, first, "b")], 2)
     assert (state.generation, state.exact) == (1, False)
 
@@ -101,7 +101,7 @@
 
 
 def test_a_publisher_appends_until_the_log_shows_it() -> None:
-    publish_id = new_id(State(), "x")
+    publish_id = new_publish_id(State(), "x")
     publisher = Publisher(publish_id, "a")
     step = publisher.next(State())
     assert isinstance(step, Append)
@@ -126,5 +126,5 @@
 
 
 def test_a_publish_id_names_its_base() -> None:
-    assert base_of("12-abc") == 12
-    assert base_of("abc") is None
+    assert base_generation("12-abc") == 12
+    assert base_generation("abc") is None
--- a/tests/unit/configlog/test_spread.py
+++ b/tests/unit/configlog/test_spread.py
@@ -4,49 +4,49 @@
 
 import random
 
-from foldhoist.configlog.spread import Peers, place_of
+from foldhoist.configlog.spread import PeerSelector, role_of
 
 NAMES = {"a": [f"a{i}" for i in range(200)], "b": [f"b{i}" for i in range(10)]}
 
 
 def test_the_tree_reaches_everyone_once() -> None:
-    places = {name: place_of(name, NAMES, "a", 3, 8) for name in NAMES["a"]}
-    readers = [name for name, place in places.items() if place.reader]
+    roles = {name: role_of(name, NAMES, "a", 3, 8) for name in NAMES["a"]}
+    readers = [name for name, role in roles.items() if role.reader]
     assert len(readers) == 3
     reached = list(readers)
     for name in reached:
-        reached += places[name].children
+        reached += roles[name].children
     assert sorted(reached) == sorted(NAMES["a"])
 
 
 def test_a_daemon_that_hears_nothing_fresh_reads_the_log() -> None:
-    name = next(n for n in NAMES["a"] if not place_of(n, NAMES, "a", 3, 8).reader)
-    peers = Peers(name, 1.0, random.Random(1))
-    peers.place = place_of(name, NAMES, "a", 3, 8)
+    name = next(n for n in NAMES["a"] if not role_of(n, NAMES, "a", 3, 8).reader)
+    peers = PeerSelector(name, 1.0, random.Random(1))
+    peers.role = role_of(name, NAMES, "a", 3, 8)
     held = {"generation": 1, "name": "a1", "reader": "a2", "age_ms": 200}
-    peers.answered(100.0, held, behind=False)  # type: ignore[arg-type]
-    assert not peers.reads(101.0)
-    assert peers.reads(130.0)
+    peers.on_answer(100.0, held, behind=False)  # type: ignore[arg-type]
+    assert not peers.should_read(101.0)
+    assert peers.should_read(130.0)
 
 
 def test_its_own_reading_that_comes_back_does_not_stop_it() -> None:
-    peers = Peers("a0", 1.0, random.Random(1))
-    peers.place = place_of("a0", NAMES, "a", 3, 8)._replace(reader=False)
+    peers = PeerSelector("a0", 1.0, random.Random(1))
+    peers.role = role_of("a0", NAMES, "a", 3, 8)._replace(reader=False)
     echo = {"generation": 1, "name": "a1", "reader": "a0", "age_ms": 0}
-    peers.answered(100.0, echo, behind=False)  # type: ignore[arg-type]
-    assert peers.reads(100.0)
+    peers.on_answer(100.0, echo, behind=False)  # type: ignore[arg-type]
+    assert peers.should_read(100.0)
 
 
 def test_silent_peers_are_passed_over() -> None:
-    peers = Peers("b0", 1.0, random.Random(1))
-    peers.place = place_of("b0", NAMES, "b", 3, 8)
-    asked = [peers.next(float(i) / 100) for i in range(200)]
+    peers = PeerSelector("b0", 1.0, random.Random(1))
+    peers.role = role_of("b0", NAMES, "b", 3, 8)
+    asked = [peers.next_peer(float(i) / 100) for i in range(200)]
     counts = {name: asked.count(name) for name in set(asked)}
     assert len(counts) > 5
     loud = "b1"
     held = {"generation": 1, "name": loud, "reader": "", "age_ms": 0}
     later = []
     for i in range(100):
-        peers.answered(3.0 + i / 1000, held, behind=False)  # type: ignore[arg-type]
-        later.append(peers.next(3.0 + i / 1000))
+        peers.on_answer(3.0 + i / 1000, held, behind=False)  # type: ignore[arg-type]
+        later.append(peers.next_peer(3.0 + i / 1000))
     assert later.count(loud) > 50
--- a/tests/unit/configlog/test_versions.py
+++ b/tests/unit/configlog/test_versions.py
@@ -4,11 +4,11 @@
 
 from foldhoist.configlog.versions import (
     READERS,
-    SILENT_S,
-    STEP_S,
-    TELL_S,
-    Held,
-    Readers,
+    REPORT_INTERVAL_S,
+    REPORT_TIMEOUT_S,
+    TAKEOVER_STEP_S,
+    CurrentVersion,
+    ReaderElection,
     Reply,
     Version,
 )
@@ -16,20 +16,20 @@
 NAMES = [f"d{number}" for number in range(6)]
 
 
-def all_readers() -> dict[str, Readers]:
-    found = {name: Readers(name, 6.0) for name in NAMES}
+def all_readers() -> dict[str, ReaderElection]:
+    found = {name: ReaderElection(name, 6.0) for name in NAMES}
     for readers in found.values():
-        readers.place(NAMES)
+        readers.set_peers(NAMES)
     return found
 
 
-def reading(found: dict[str, Readers], now: float, told_by: list[str]) -> list[str]:
+def reading(found: dict[str, ReaderElection], now: float, told_by: list[str]) -> list[str]:
     """Return who reads, when `told_by` have just said that the store answers them."""
     for name in told_by:
         for other, readers in found.items():
             if other != name:
-                readers.told(now, name, 0.0)
-    return [name for name, readers in found.items() if readers.reads(now)]
+                readers.on_report(now, name, 0.0)
+    return [name for name, readers in found.items() if readers.should_read(now)]
 
 
 def test_everybody_finds_the_same_few_readers() -> None:
@@ -42,9 +42,9 @@
 def test_when_no_reader_is_heard_the_others_step_in_one_after_the_other() -> None:
     found = all_readers()
     first = reading(found, 0.0, NAMES)
-    silent = SILENT_S + 0.1
+    silent = REPORT_TIMEOUT_S + 0.1
     assert set(reading(found, silent, [])) >= set(first)
-    counts = [len(reading(found, silent + step * STEP_S, [])) for step in range(1, 6)]
+    counts = [len(reading(found, silent + step * TAKEOVER_STEP_S, [])) for step in range(1, 6)]
     assert counts == sorted(counts)
     assert counts[-1] == len(NAMES)
 
@@ -54,8 +54,8 @@
     found = all_readers()
     first = reading(found, 0.0, [])
     assert len(first) == READERS
-    assert reading(found, TELL_S - 0.01, []) == first
-    assert len(reading(found, TELL_S + 0.01, [])) > READERS
+    assert reading(found, REPORT_INTERVAL_S - 0.01, []) == first
+    assert len(reading(found, REPORT_INTERVAL_S + 0.01, [])) > READERS
 
 
 def test_one_that_the_store_answers_is_enough() -> None:
@@ -69,22 +69,22 @@
 
 
 def test_a_reader_that_the_store_does_not_answer_does_not_count() -> None:
-    readers = Readers("d0", 6.0)
-    readers.place(NAMES)
+    readers = ReaderElection("d0", 6.0)
+    readers.set_peers(NAMES)
     order = [name for name in NAMES if name != "d0"]
     for number in range(20):
         for name in order:
-            readers.told(number * 0.5, name, 1000.0)
-        last = readers.reads(number * 0.5)
+            readers.on_report(number * 0.5, name, 1000.0)
+        last = readers.should_read(number * 0.5)
     assert last
 
 
 def test_a_daemon_that_knows_nobody_reads() -> None:
-    assert Readers("d0", 6.0).reads(0.0)
+    assert ReaderElection("d0", 6.0).should_read(0.0)
 
 
 def test_a_daemon_that_starts_on_an_unusable_version_takes_an_older_one_from_a_peer() -> None:
-    held = Held()
+    held = CurrentVersion()
     assert held.wants(7)
     held.refuse(Version(7, b"broken"))
     assert not held.wants(7)
@@ -97,7 +97,7 @@
 
 
 def test_what_a_peer_is_answered() -> None:
-    held = Held()
+    held = CurrentVersion()
     held.adopt(Version(5, b"five"))
     assert held.reply(4, asked=False) is Reply.CONTENT
     assert held.reply(5, asked=False) is Reply.NOTHING
--- a/tests/unit/daemon/test_versions_task.py
+++ b/tests/unit/daemon/test_versions_task.py
@@ -9,8 +9,8 @@
 import pytest
 from expression import Error, Ok
 
-from foldhoist.configlog.evacuations import Told
-from foldhoist.configlog.versions import Readers, Version
+from foldhoist.configlog.evacuations import StoredEvacuations
+from foldhoist.configlog.versions import ReaderElection, Version
 from foldhoist.daemon import versions_task
 from foldhoist.daemon.ports import News, StoreFault
 from foldhoist.daemon.versions_task import ANSWER_FIRST_S, ANSWER_LONGEST_S, VersionsTask
@@ -19,8 +19,8 @@
     from expression import Result
 
 WAIT_MS = 5000
-NOTHING = News(None, Told(0, whole=False, records=()))
-FIRST = News(Version(1, b""), Told(1, whole=True, records=()))
+NOTHING = News(None, StoredEvacuations(0, complete=False, records=()))
+FIRST = News(Version(1, b""), StoredEvacuations(1, complete=True, records=()))
 SILENT = StoreFault("did not answer", True)
 ASKED = 40
 """Calls after which a scripted store says nothing more."""
@@ -89,7 +89,7 @@
         adapter: Any = FakeAdapter()
         peers: Any = NoPeers()
         task = VersionsTask(
-            adapter, store, Readers("a", 6.0), WAIT_MS, lambda *_: None, random.Random(1)
+            adapter, store, ReaderElection("a", 6.0), WAIT_MS, lambda *_: None, random.Random(1)
         )
         task.start(peers, first=True)
         await store.ended.wait()
@@ -111,9 +111,9 @@
         store: Any = ScriptedStore([Ok(FIRST)])
         adapter: Any = FakeAdapter()
         peers: Any = NoPeers()
-        readers = Readers("a", 6.0)
-        readers.place(["a", *(f"b{number}" for number in range(200))])
-        monkeypatch.setattr(readers, "reads", lambda now: False)
+        readers = ReaderElection("a", 6.0)
+        readers.set_peers(["a", *(f"b{number}" for number in range(200))])
+        monkeypatch.setattr(readers, "should_read", lambda now: False)
         task = VersionsTask(adapter, store, readers, WAIT_MS, lambda *_: None, random.Random(1))
         task.start(peers, first)
         for _ in range(200):
