--- a/foldhoist/configlog/spread.py
+++ b/foldhoist/configlog/spread.py
@@ -92,7 +92,7 @@
         self._count_ask(asked, now)
         return asked
 
-    def sample(self, count: int) -> list[str]:
+    def random_peers(self, count: int) -> list[str]:
         """Return some peers of the data centre, drawn by lot."""
         others = self.role.others
         return self._rng.sample(others, min(count, len(others)))
--- a/foldhoist/daemon/configuration.py
+++ b/foldhoist/daemon/configuration.py
@@ -246,7 +246,7 @@
         """Tell some of the data centre which generation is held: a dead relay leaves gaps."""
         if self.fleet is None:
             return
-        for name in self.peers.sample(ANNOUNCED):
+        for name in self.peers.random_peers(ANNOUNCED):
             target = self.fleet["targets"].get(name)
             if target is not None:
                 self._control.send(target["control"], "Held", self._held())
