--- a/foldhoist/delivery/holding.py
+++ b/foldhoist/delivery/quarantined_calls.py
@@ -1,4 +1,4 @@
-"""What an owner does about calls under which upstreams end; no I/O."""
+"""Refuses and stops calls that crash upstreams; no I/O."""
 
 from __future__ import annotations
 
@@ -9,55 +9,55 @@
 
 if TYPE_CHECKING:
     from foldhoist.delivery.dispatch import Action, Counters
-    from foldhoist.delivery.telling import Telling
+    from foldhoist.delivery.load_reports import LoadReports
     from foldhoist.delivery.tickets import Tickets
     from foldhoist.delivery.waiting import Waiting
     from foldhoist.quarantine.table import Quarantine
     from foldhoist.schema.messages import Dispatch, Suspect
 
 
-class Holding:
-    """Notes ends of the upstream, and refuses or stops what would end it again."""
+class QuarantinedCalls:
+    """Records crashes of the upstream, and refuses or stops quarantined calls."""
 
     def __init__(
         self,
         quarantine: Quarantine,
         tickets: Tickets,
-        telling: Telling,
+        reports: LoadReports,
         waiting: Waiting,
         count: Counters,
     ) -> None:
         self._quarantine = quarantine
         self._tickets = tickets
-        self._telling = telling
+        self._reports = reports
         self._waiting = waiting
         self._count = count
 
-    def upstream_ended(self, now: float, ticket_ids: list[int]) -> list[Action]:
-        """Take in that the upstream has ended with these calls at work.
+    def upstream_crashed(self, now: float, ticket_ids: list[int]) -> list[Action]:
+        """Record a crash of the upstream while these calls were running.
 
-        They are told before their refusals: an ingress that may send one of them again, or gets one
-        like it, has then counted this crash.
+        The crash is reported before the calls are refused, so that an ingress has counted it before
+        it retries one of them.
         """
         found = [ticket for each in ticket_ids if (ticket := self._tickets.get(each)) is not None]
-        news = self._quarantine.crashed(now, {ticket.identity for ticket in found})
-        held = [row["call"] for row in news if self._quarantine.held_s(now, row["call"])]
-        return [*self._telling.crashes(news), *self._hold(held)]
+        changed = self._quarantine.crashed(now, {ticket.identity for ticket in found})
+        held = [row["call"] for row in changed if self._quarantine.held_s(now, row["call"])]
+        return [*self._reports.crashes(changed), *self._quarantine_calls(held)]
 
-    def learned(self, now: float, suspects: list[Suspect]) -> list[Action]:
-        """Take in what another daemon knows of calls that end upstreams."""
-        return self._hold(self._quarantine.learned(now, suspects))
+    def merge(self, now: float, suspects: list[Suspect]) -> list[Action]:
+        """Merge what another daemon knows of calls that crash upstreams."""
+        return self._quarantine_calls(self._quarantine.learned(now, suspects))
 
-    def held_s(self, now: float, req: Dispatch) -> float:
-        """Return for how long a call like this is refused, seconds; 0 if it may run."""
+    def remaining_s(self, now: float, req: Dispatch) -> float:
+        """Return how long the call stays quarantined, seconds; 0 if it may run."""
         if not self._quarantine.holding:
             return 0.0
         return self._quarantine.held_s(now, dispatch_identity(req))
 
-    def _hold(self, calls: list[str]) -> list[Action]:
-        """Refuse waiting calls that would end the upstream, and stop those at work.
+    def _quarantine_calls(self, calls: list[str]) -> list[Action]:
+        """Refuse waiting calls that are quarantined and cancel running ones.
 
-        One at work that may not be repeated keeps its chance of an answer.
+        A running call that is not repeatable is left to finish.
         """
         if not calls:
             return []
