--- a/foldhoist/daemon/frames.py
+++ b/foldhoist/daemon/frames.py
@@ -77,9 +77,9 @@
         if self._transport is None:
             return
         self._write(kind, self._fragmenter.first(body))
-        if self._fragmenter.pending > MOST_UNSENT:
+        if self._fragmenter.pending_bytes > MOST_UNSENT:
             self.close()
-        elif self._fragmenter.pending and self._pieces is None:
+        elif self._fragmenter.pending_bytes and self._pieces is None:
             self._send_pieces()
 
     def close(self) -> None:
@@ -97,7 +97,7 @@
     def _send_pieces(self) -> None:
         """Send pieces while the connection takes them; what else is sent goes in between."""
         self._pieces = None
-        while self._transport is not None and self._fragmenter.pending:
+        while self._transport is not None and self._fragmenter.pending_bytes:
             if self._transport.get_write_buffer_size() > PIECE_BYTES:
                 loop = asyncio.get_running_loop()
                 self._pieces = loop.call_later(PIECES_S, self._send_pieces)
--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -298,10 +298,10 @@
 
     def _take_result(self, ticket: int, result: Result) -> None:
         now = self._loop.time()
-        hop = self.owner.ended(now, ticket, result)
+        hop = self.owner.call_record(now, ticket, result)
         if isinstance(result, Whole):
             self.sampler.heard(result.pace)
-        self.owner.status.watched = self.sampler.watching
+        self.owner.status.pace_sampled = self.sampler.watching
         if _is_away(result):
             self._look_for_upstream()
         self._carry_out(self.owner.finished(now, ticket, result))
@@ -309,7 +309,7 @@
             self._on_hop(hop)
 
     def _sampled(self, sample: Sample) -> None:
-        self.owner.status.watched = self.sampler.watching
+        self.owner.status.pace_sampled = self.sampler.watching
         self._carry_out(self.owner.sampled(self._loop.time(), sample))
 
     def _tell_refusals(self) -> None:
--- a/foldhoist/delivery/codec.py
+++ b/foldhoist/delivery/codec.py
@@ -131,21 +131,21 @@
                 return []
             data = b"".join(self._parts)
         found: list[tuple[str, Any]] = []
-        at = 0
+        offset = 0
         size = len(data)
         self._needed = HEADER.size
-        while size - at >= HEADER.size:
-            length, number = HEADER.unpack_from(data, at)
+        while size - offset >= HEADER.size:
+            length, number = HEADER.unpack_from(data, offset)
             if length > self.limit:
                 raise ProtocolError(f"message of {length} bytes exceeds the limit of {self.limit}")
-            end = at + HEADER.size + length
+            end = offset + HEADER.size + length
             if end > size:
                 self._needed = HEADER.size + length
                 break
-            found.append(self._decode(number, data[at + HEADER.size : end]))
-            at = end
-        self._parts = [data[at:]] if at < size else []
-        self._buffered = size - at
+            found.append(self._decode(number, data[offset + HEADER.size : end]))
+            offset = end
+        self._parts = [data[offset:]] if offset < size else []
+        self._buffered = size - offset
         return found
 
     def _decode(self, number: int, fields: bytes) -> tuple[str, Any]:
--- a/foldhoist/delivery/load_reports.py
+++ b/foldhoist/delivery/load_reports.py
@@ -37,7 +37,7 @@
 
     def to_all(self) -> list[Action]:
         """Report the load to every ingress."""
-        return self._to(self._peers.links())
+        return self._send_to(self._peers.links())
 
     def invite_trial(self, now: float) -> list[Action]:
         """Invite one ingress to send a trial call, by reporting the state as warm to it alone.
@@ -58,7 +58,7 @@
         """Report the load to ingresses with recent calls if the pace has changed."""
         if not self._status.take_pace_change():
             return []
-        return self._to(self._peers.recently_used(now - PACE_KEPT_MS / 1000, MAX_PACE_REPORTS))
+        return self._send_to(self._peers.recently_used(now - PACE_KEPT_MS / 1000, MAX_PACE_REPORTS))
 
     def crashes(self, suspects: list[Suspect]) -> list[Action]:
         """Report suspected calls to every ingress, and have them passed on to other daemons."""
@@ -67,7 +67,7 @@
         told = crashes_frame(suspects)
         return [*(SendTo(link, told) for link in self._peers.links()), Spread(suspects)]
 
-    def _to(self, links: list[int]) -> list[Action]:
+    def _send_to(self, links: list[int]) -> list[Action]:
         report = Frame("Report", {"load": self.load()})
         return [SendTo(link, report) for link in links]
 
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -307,7 +307,7 @@
         peer = self._peers.at(link)
         return peer.name if peer is not None else ""
 
-    def ended(self, now: float, ticket_id: int, result: Result) -> Ended | None:
+    def call_record(self, now: float, ticket_id: int, result: Result) -> Ended | None:
         """Return the record of a call whose result has arrived but is not handled yet."""
         ticket = self.tickets.get(ticket_id)
         if ticket is None:
--- a/foldhoist/delivery/pieces.py
+++ b/foldhoist/delivery/pieces.py
@@ -30,7 +30,7 @@
     """Splits the answers sent over one connection; pieces of several answers alternate."""
 
     def __init__(self) -> None:
-        self.pending = 0
+        self.pending_bytes = 0
         self._next = 1
         self._remainders: deque[_Remainder] = deque()
 
@@ -42,7 +42,7 @@
         number = self._next
         self._next += 1
         self._remainders.append(_Remainder(number, memoryview(raw)[PIECE_BYTES:]))
-        self.pending += len(raw) - PIECE_BYTES
+        self.pending_bytes += len(raw) - PIECE_BYTES
         return {**body, "body": raw[:PIECE_BYTES], "rest": number}
 
     def next_piece(self) -> Piece | None:
@@ -51,7 +51,7 @@
             return None
         rest = self._remainders.popleft()
         sent, left = rest.body[:PIECE_BYTES], rest.body[PIECE_BYTES:]
-        self.pending -= len(sent)
+        self.pending_bytes -= len(sent)
         if left:
             self._remainders.append(_Remainder(rest.number, left))
         return {"number": rest.number, "last": not left, "body": bytes(sent)}
--- a/foldhoist/delivery/tickets.py
+++ b/foldhoist/delivery/tickets.py
@@ -20,7 +20,7 @@
         self._bodies = bodies if bodies is not None else HeldBytes(MOST_BODY_BYTES)
         self._by_id: dict[int, Ticket] = {}
         self._next_id = 1
-        self._running: dict[int, int] = {}
+        self._running_by_rank: dict[int, int] = {}
         self._repeats = StartedRepeats()
 
     def __len__(self) -> int:
@@ -57,28 +57,28 @@
         ticket = self._by_id[ticket_id]
         ticket.running = True
         ticket.started = now
-        self._running[ticket.rank] = self._running.get(ticket.rank, 0) + 1
+        self._running_by_rank[ticket.rank] = self._running_by_rank.get(ticket.rank, 0) + 1
         self._repeats.started(now, ticket.repeat)
         return ticket
 
     @property
     def most_common_rank(self) -> int:
         """Return the most frequent rank among running calls, NO_RANK if none runs."""
-        return max(self._running, key=self._running.__getitem__, default=NO_RANK)
+        return max(self._running_by_rank, key=self._running_by_rank.__getitem__, default=NO_RANK)
 
     @property
     def repeat_share(self) -> float:
         """Return the share of repeats among recently started calls, 0 if none runs."""
-        return self._repeats.share if self._running else 0.0
+        return self._repeats.share if self._running_by_rank else 0.0
 
     def pop(self, ticket_id: int) -> Ticket:
         """Remove a call that has ended and release the memory of its body."""
         ticket = self._by_id.pop(ticket_id)
         self._bodies.give_back(len(ticket.request["body"]))
         if ticket.running:
-            self._running[ticket.rank] -= 1
-            if not self._running[ticket.rank]:
-                del self._running[ticket.rank]
+            self._running_by_rank[ticket.rank] -= 1
+            if not self._running_by_rank[ticket.rank]:
+                del self._running_by_rank[ticket.rank]
         return ticket
 
     def log_labels(self, ticket_ids: list[int]) -> list[str]:
--- a/foldhoist/delivery/upstream_status.py
+++ b/foldhoist/delivery/upstream_status.py
@@ -43,7 +43,7 @@
         self.errors = 0.0
         self.leaving_sources: dict[str, bool] = {}
         self.last_start_at = float("inf")
-        self.watched = False
+        self.pace_sampled = False
         self.cold = False
         self.shedding = Shedding()
         self._reported_pace = 0
@@ -150,7 +150,7 @@
         }
         if self.pace:
             load["pace"] = self.pace
-            if self.watched:
+            if self.pace_sampled:
                 load["pace_kept_ms"] = PACE_KEPT_MS
         return load
 
--- a/tests/unit/delivery/test_pieces.py
+++ b/tests/unit/delivery/test_pieces.py
@@ -44,7 +44,7 @@
     fragmenter = Fragmenter()
     found = received(sent(fragmenter, *answers), Reassembler(LIMIT))
     assert sorted(found, key=lambda each: each["seq"]) == answers
-    assert fragmenter.pending == 0
+    assert fragmenter.pending_bytes == 0
 
 
 @given(st.integers(0, 30))
