--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -25,7 +25,7 @@
 )
 from foldhoist.delivery.endings import LOCAL_LINK
 from foldhoist.delivery.standing import EVACUATED
-from foldhoist.membership.lives import life_of
+from foldhoist.membership.incarnations import incarnation_of
 from foldhoist.routing.sampling import SamplePlan
 
 if TYPE_CHECKING:
@@ -142,7 +142,7 @@
     def announce(self, upstream: Announced) -> None:
         """Take in what the upstream says of itself."""
         before = self.owner.standing.upstream
-        if before is not None and not life_of(before).is_same(life_of(upstream)):
+        if before is not None and not incarnation_of(before).is_same(incarnation_of(upstream)):
             self.pool.forget()
         self.sampler.instance = upstream["instance"]
         self._carry_out(self.owner.announce(self._loop.time(), upstream))
--- a/foldhoist/daemon/peer_messages.py
+++ b/foldhoist/daemon/peer_messages.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING, Any
 
-from foldhoist.membership.lives import from_rows
+from foldhoist.membership.incarnations import incarnations_from_rows
 
 if TYPE_CHECKING:
     from foldhoist.daemon.mesh import MeshDaemon
@@ -29,9 +29,9 @@
                 if ended is not None:
                     daemon.links.send(name, "Remembered", {"ended": ended})
             case "Remembered":
-                daemon.upstream.remember(from_rows(body["ended"]))
+                daemon.upstream.remember(incarnations_from_rows(body["ended"]))
             case "Noted":
-                daemon.upstream.peer_answered(name, from_rows(body["ended"]))
+                daemon.upstream.peer_answered(name, incarnations_from_rows(body["ended"]))
             case "Versioned":
                 daemon.versions.on_versioned(name, body)
             case "Fresh":
@@ -48,7 +48,7 @@
             case "Member":
                 self._member(link, body)
             case "Remembered":
-                daemon.upstream.remember(from_rows(body["ended"]))
+                daemon.upstream.remember(incarnations_from_rows(body["ended"]))
             case "Versioned":
                 daemon.versions.on_versioned(daemon.owner.peer_name(link), body)
             case "Crashes":
--- a/foldhoist/daemon/peers_task.py
+++ b/foldhoist/daemon/peers_task.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from foldhoist.membership.lives import from_rows
+from foldhoist.membership.incarnations import incarnations_from_rows
 from foldhoist.membership.registry import (
     Changed,
     Connect,
@@ -24,7 +24,7 @@
 
     from foldhoist.daemon.links import Links
     from foldhoist.daemon.ports import Store
-    from foldhoist.membership.lives import Life
+    from foldhoist.membership.incarnations import UpstreamIncarnation
     from foldhoist.membership.registry import Action, Registry
     from foldhoist.quarantine.table import Quarantine
     from foldhoist.schema.messages import Member, Roster, Row
@@ -57,7 +57,7 @@
         describe: Callable[[], Member],
         on_change: Callable[[list[str]], None],
         on_rewired: Callable[[], None],
-        on_own: Callable[[tuple[Life, ...], set[str]], None],
+        on_own: Callable[[tuple[UpstreamIncarnation, ...], set[str]], None],
         is_busy: Callable[[str], bool],
         send_back: Callable[[str, str, Any], None],
         quarantine: Quarantine,
@@ -303,7 +303,7 @@
             member["incarnation"],
             member["frames"],
             member["data_centre"],
-            tuple(from_rows(member["ended"])),
+            tuple(incarnations_from_rows(member["ended"])),
             member["upstream"]["service"],
             tuple(held_call(row, wall_ms) for row in held),
         )
--- a/foldhoist/daemon/upstream_task.py
+++ b/foldhoist/daemon/upstream_task.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from foldhoist.admission.bucket import TokenBucket
-from foldhoist.membership.lives import Life, life_of
+from foldhoist.membership.incarnations import UpstreamIncarnation, incarnation_of
 from foldhoist.membership.settling import Settling
 from foldhoist.membership.upstream import Heard, OwnUpstream
 
@@ -125,7 +125,7 @@
         if heard is not Heard.NOTHING:
             logger.info(
                 "upstream {} of {}: {}, sequence {}",
-                _told(life_of(announced)),
+                _told(incarnation_of(announced)),
                 announced["service"],
                 announced["state"],
                 announced["sequence"],
@@ -134,7 +134,7 @@
         elif self.known.current is announced:
             self._owner_task.heard_again(announced["cold_ms"] / 1000)
         if heard is Heard.LEAVING:
-            await self._bind(life_of(announced))
+            await self._bind(incarnation_of(announced))
         elif announced["state"] != "ready":
             await self._until_noted(announced["instance"])
         return True
@@ -161,10 +161,10 @@
                 return True
         logger.info("upstream {} is gone, by its own word", instance)
         self._changed(before)
-        await self._bind(Life(instance, born_ms))
+        await self._bind(UpstreamIncarnation(instance, born_ms))
         return True
 
-    def peer_answered(self, name: str, noted: Iterable[Life]) -> None:
+    def peer_answered(self, name: str, noted: Iterable[UpstreamIncarnation]) -> None:
         """Take in that a peer has read what this daemon is; it has noted these lives as ended."""
         for life in noted:
             binding = self._noted.get(life.instance)
@@ -173,20 +173,20 @@
         self._settling.peer_answered(name)
         self._settle()
 
-    def store_answered(self, ended: Iterable[Life], peers: AbstractSet[str]) -> None:
+    def store_answered(self, ended: Iterable[UpstreamIncarnation], peers: AbstractSet[str]) -> None:
         """Take in what the store knows of this daemon's earlier lives, and which peers it names."""
         self._settling.store_answered(peers)
         self._loop.call_later(PEERS_S, self._waited)
         self._take_ended(ended)
 
-    def remember(self, ended: Iterable[Life]) -> None:
+    def remember(self, ended: Iterable[UpstreamIncarnation]) -> None:
         """Take in what a peer knows of this daemon's earlier lives."""
         self._settling.peer_remembered()
         self._take_ended(ended)
 
     # Steps
 
-    def _take_ended(self, ended: Iterable[Life]) -> None:
+    def _take_ended(self, ended: Iterable[UpstreamIncarnation]) -> None:
         before = self.known.current
         if self.known.remember(ended):
             logger.info("upstream was leaving before this daemon started")
@@ -216,10 +216,10 @@
         if current is None or not self._settled:
             return
         self._owner_task.announce(current)
-        replaced = before is None or not life_of(before).is_same(life_of(current))
+        replaced = before is None or not incarnation_of(before).is_same(incarnation_of(current))
         self._on_change(replaced)
 
-    async def _bind(self, life: Life) -> None:
+    async def _bind(self, life: UpstreamIncarnation) -> None:
         """Wait until a peer or the store has noted the leaving, so that it outlasts this life."""
         binding = _Binding(life.born_ms, asyncio.Event())
         self._noted[life.instance] = binding
@@ -252,6 +252,6 @@
         event.set()
 
 
-def _told(life: Life) -> str:
+def _told(life: UpstreamIncarnation) -> str:
     """Return what the log calls a life."""
     return f"{life.instance} (started {life.born_ms})" if life.born_ms else life.instance
--- a/foldhoist/delivery/standing.py
+++ b/foldhoist/delivery/standing.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from foldhoist.admission.shedding import Shedding
-from foldhoist.membership.lives import life_of
+from foldhoist.membership.incarnations import incarnation_of
 from foldhoist.routing.sampling import is_change
 
 if TYPE_CHECKING:
@@ -82,7 +82,7 @@
     def is_another(self, upstream: Announced) -> bool:
         """Return whether this is another life than the one known."""
         before = self.upstream
-        return before is None or not life_of(before).is_same(life_of(upstream))
+        return before is None or not incarnation_of(before).is_same(incarnation_of(upstream))
 
     def announce(self, now: float, upstream: Announced) -> bool:
         """Take in what it says of itself; returns whether it runs another service than before."""
--- a/foldhoist/membership/lives.py
+++ b/foldhoist/membership/incarnations.py
@@ -16,50 +16,50 @@
 """Names of upstreams of which it is remembered that lives have ended."""
 
 
-class Life(NamedTuple):
+class UpstreamIncarnation(NamedTuple):
     """One life of an upstream; `born_ms` is its start, wall clock, 0 where it tells none."""
 
     instance: str
     born_ms: int = 0
 
-    def is_same(self, other: Life) -> bool:
+    def is_same(self, other: UpstreamIncarnation) -> bool:
         """Return whether both are one life, as far as they tell: a word may lack the start."""
         if self.instance != other.instance:
             return False
         return self.born_ms == other.born_ms or not self.born_ms or not other.born_ms
 
-    def is_before(self, other: Life) -> bool:
+    def is_before(self, other: UpstreamIncarnation) -> bool:
         """Return whether both tell their start, and this one was first."""
         return 0 < self.born_ms < other.born_ms
 
 
-def life_of(announced: Announced) -> Life:
+def incarnation_of(announced: Announced) -> UpstreamIncarnation:
     """Return the life that says this of itself."""
-    return Life(announced["instance"], announced["born_ms"])
+    return UpstreamIncarnation(announced["instance"], announced["born_ms"])
 
 
-def from_rows(rows: Iterable[EndedLife]) -> list[Life]:
+def incarnations_from_rows(rows: Iterable[EndedLife]) -> list[UpstreamIncarnation]:
     """Return ended lives as a message has them."""
-    return [Life(row["instance"], row["born_ms"]) for row in rows]
+    return [UpstreamIncarnation(row["instance"], row["born_ms"]) for row in rows]
 
 
-class EndedLives:
+class EndedIncarnations:
     """Lives that have ended: of each name all that started until the last one that is known.
 
     One that ends under a name ends those before it, so one start for a name says it all.
     """
 
-    def __init__(self, lives: Iterable[Life] = ()) -> None:
+    def __init__(self, lives: Iterable[UpstreamIncarnation] = ()) -> None:
         self._until: dict[str, int] = {}
         for life in lives:
             self.add(life)
 
-    def __contains__(self, life: Life) -> bool:
+    def __contains__(self, life: UpstreamIncarnation) -> bool:
         """Return whether this life has ended; one without a start has if any of its name has."""
         until = self._until.get(life.instance)
         return until is not None and life.born_ms <= until
 
-    def add(self, life: Life) -> bool:
+    def add(self, life: UpstreamIncarnation) -> bool:
         """Take in that a life has ended; returns whether that is news."""
         if life in self and self._until[life.instance] >= life.born_ms:
             return False
@@ -68,9 +68,9 @@
             del self._until[next(iter(self._until))]
         return True
 
-    def lives(self) -> tuple[Life, ...]:
+    def incarnations(self) -> tuple[UpstreamIncarnation, ...]:
         """Return the last ended life of each name, the name noted first in front."""
-        return tuple(Life(name, until) for name, until in self._until.items())
+        return tuple(UpstreamIncarnation(name, until) for name, until in self._until.items())
 
     def rows(self) -> list[EndedLife]:
         """Return them as messages have them."""
--- a/foldhoist/membership/registry.py
+++ b/foldhoist/membership/registry.py
@@ -11,7 +11,12 @@
 
 import msgspec
 
-from foldhoist.membership.lives import EndedLives, Life, from_rows, life_of
+from foldhoist.membership.incarnations import (
+    EndedIncarnations,
+    UpstreamIncarnation,
+    incarnation_of,
+    incarnations_from_rows,
+)
 from foldhoist.membership.neighbours import Neighbours
 from foldhoist.routing.picker import Member as Tracked
 
@@ -47,7 +52,7 @@
     incarnation: str
     frames: str
     data_centre: str
-    ended: tuple[Life, ...] = ()
+    ended: tuple[UpstreamIncarnation, ...] = ()
     service: str = ""
     held: tuple[HeldCall, ...] = ()
 
@@ -140,7 +145,7 @@
         self.data_centre = known.data_centre
         self.service = known.service
         self.hearsay = hearsay
-        self.ended = EndedLives(known.ended)
+        self.ended = EndedIncarnations(known.ended)
         self.upstream: Announced | None = None
         self.earlier = False
         self.telling = 0
@@ -212,7 +217,7 @@
             peer = self.peers[name]
         if peer.incarnation != known.incarnation and not peer.hearsay:
             peer.earlier = True
-        for life in from_rows(member["ended"]):
+        for life in incarnations_from_rows(member["ended"]):
             peer.ended.add(life)
         peer.heard_at = now
         if peer.incarnation == known.incarnation and member["telling"] < peer.telling:
@@ -337,7 +342,9 @@
             actions += [Disconnect(holder), Changed(holder)]
         before = self.peers.get(peer.name)
         if before is not None:
-            peer.ended = EndedLives((*before.ended.lives(), *peer.ended.lives()))
+            peer.ended = EndedIncarnations(
+                (*before.ended.incarnations(), *peer.ended.incarnations())
+            )
             is_other_life = before.incarnation != peer.incarnation and not before.hearsay
             peer.earlier = before.earlier or is_other_life
             peer.service = peer.service or before.service
@@ -366,11 +373,11 @@
         self.neighbours.add(peer.name, peer.data_centre, service)
 
 
-def _identity(upstream: Announced | None) -> tuple[Life, str, int, bool] | None:
+def _identity(upstream: Announced | None) -> tuple[UpstreamIncarnation, str, int, bool] | None:
     if upstream is None:
         return None
     gone = upstream["state"] != "ready"
-    return life_of(upstream), upstream["service"], upstream["slots"], gone
+    return incarnation_of(upstream), upstream["service"], upstream["slots"], gone
 
 
 def _stands(upstream: Announced) -> bool:
--- a/foldhoist/membership/upstream.py
+++ b/foldhoist/membership/upstream.py
@@ -10,7 +10,12 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from foldhoist.membership.lives import ENDED_KEPT, EndedLives, Life, life_of
+from foldhoist.membership.incarnations import (
+    ENDED_KEPT,
+    EndedIncarnations,
+    UpstreamIncarnation,
+    incarnation_of,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -44,19 +49,19 @@
 class OwnUpstream:
     """The upstream beside this daemon, and the lives of it that have ended."""
 
-    def __init__(self, ended: Iterable[Life] = ()) -> None:
+    def __init__(self, ended: Iterable[UpstreamIncarnation] = ()) -> None:
         self.current: Announced | None = None
-        self.ended = EndedLives(ended)
-        self._replaced: dict[Life, int] = {}
-        self._behind: dict[Life, int] = {}
+        self.ended = EndedIncarnations(ended)
+        self._replaced: dict[UpstreamIncarnation, int] = {}
+        self._behind: dict[UpstreamIncarnation, int] = {}
         self._heard_at = 0.0
         self._again_at = float("-inf")
 
     def heard(self, announced: Announced, now: float = 0.0) -> Heard:
         """Take in an announcement; a late one changes nothing."""
-        life = life_of(announced)
+        life = incarnation_of(announced)
         current = self.current
-        known = life_of(current) if current is not None else None
+        known = incarnation_of(current) if current is not None else None
         if life in self.ended:
             return Heard.NOTHING
         if current is not None and known is not None and life.is_same(known):
@@ -87,15 +92,17 @@
 
         It then is the life that is known, or any that has started until `wall_ms`, the wall clock.
         """
-        known = life_of(self.current) if self.current is not None else None
-        life = Life(instance, born_ms)
+        known = incarnation_of(self.current) if self.current is not None else None
+        life = UpstreamIncarnation(instance, born_ms)
         is_known = known is not None and life.is_same(known)
         if not born_ms:
             if is_known and now - self._again_at < LATE_S:
                 return Heard.UNSURE
             if not is_known and life in self.ended:
                 return Heard.NOTHING
-            life = known if is_known and known is not None else Life(instance, wall_ms)
+            life = (
+                known if is_known and known is not None else UpstreamIncarnation(instance, wall_ms)
+            )
         if not self.ended.add(life):
             return Heard.NOTHING
         if known is not None and life.is_before(known):
@@ -104,18 +111,20 @@
             self.current = {**self.current, "state": "gone"}
         return Heard.LEAVING
 
-    def remember(self, ended: Iterable[Life]) -> bool:
+    def remember(self, ended: Iterable[UpstreamIncarnation]) -> bool:
         """Take in lives that an earlier life of this daemon acknowledged; whether one was new."""
         fresh = [life for life in ended if self.ended.add(life)]
         current = self.current
-        if not fresh or current is None or life_of(current) not in self.ended:
+        if not fresh or current is None or incarnation_of(current) not in self.ended:
             return False
         if current["state"] != "ready":
             return False
         self.current = {**current, "state": "leaving"}
         return True
 
-    def _may_replace(self, life: Life, known: Life | None, now: float) -> bool:
+    def _may_replace(
+        self, life: UpstreamIncarnation, known: UpstreamIncarnation | None, now: float
+    ) -> bool:
         if known is not None and life.is_before(known):
             return self._is_known_silent(life, now)
         if life not in self._replaced:
@@ -126,7 +135,7 @@
         del self._replaced[life]
         return True
 
-    def _is_known_silent(self, life: Life, now: float) -> bool:
+    def _is_known_silent(self, life: UpstreamIncarnation, now: float) -> bool:
         """Return whether a life that started first is there, and the one known is not."""
         self._behind[life] = self._behind.get(life, 0) + 1
         _bound(self._behind)
@@ -136,14 +145,14 @@
         return True
 
 
-def _bound(words: dict[Life, int]) -> None:
+def _bound(words: dict[UpstreamIncarnation, int]) -> None:
     """Forget the life noted first where there are too many: others may write here, too."""
     if len(words) > ENDED_KEPT:
         del words[next(iter(words))]
 
 
 def _alike(before: Announced | None, after: Announced) -> bool:
-    if before is None or not life_of(before).is_same(life_of(after)):
+    if before is None or not incarnation_of(before).is_same(incarnation_of(after)):
         return False
     keys = ("service", "slots", "state")
     return all(before[key] == after[key] for key in keys)  # type: ignore[literal-required]
--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -10,7 +10,7 @@
 
 from foldhoist.configlog.versions import Version
 from foldhoist.daemon import waits
-from foldhoist.membership.lives import Life
+from foldhoist.membership.incarnations import UpstreamIncarnation
 from foldhoist.membership.registry import Registration
 from foldhoist_adapter.configuration import translate
 from foldhoist_adapter.store import LogStore
@@ -81,7 +81,7 @@
 async def test_a_store_that_refuses_was_not_changed_one_that_is_silent_may_be(
     log: KeyedLog, client: LogStore
 ) -> None:
-    mine = Registration("a", "life", "a:1", "one", (Life("i-1", 5),))
+    mine = Registration("a", "life", "a:1", "one", (UpstreamIncarnation("i-1", 5),))
     log.down = True
     refused = await client.register(mine)
     assert refused.is_error()
--- a/tests/model/leaving_spec.py
+++ b/tests/model/leaving_spec.py
@@ -13,7 +13,11 @@
 
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from foldhoist.membership.lives import EndedLives, Life, from_rows
+from foldhoist.membership.incarnations import (
+    EndedIncarnations,
+    UpstreamIncarnation,
+    incarnations_from_rows,
+)
 from foldhoist.membership.registry import Peer, Registration, Registry
 from foldhoist.membership.settling import Settling
 from foldhoist.membership.upstream import Heard, OwnUpstream
@@ -101,14 +105,14 @@
     return own
 
 
-def lives_of(starts: tuple[int, ...]) -> list[Life]:
+def lives_of(starts: tuple[int, ...]) -> list[UpstreamIncarnation]:
     """Return ended lives by their starts."""
-    return [Life(NAME, start) for start in starts]
+    return [UpstreamIncarnation(NAME, start) for start in starts]
 
 
-def starts_of(lives: EndedLives) -> tuple[int, ...]:
+def starts_of(lives: EndedIncarnations) -> tuple[int, ...]:
     """Return the starts of ended lives."""
-    return tuple(life.born_ms for life in lives.lives())
+    return tuple(life.born_ms for life in lives.incarnations())
 
 
 def with_own(world: World, own: OwnUpstream) -> World:
@@ -152,7 +156,7 @@
         "data_centre": "one",
         "version": 0,
         "upstream": announced("ready", 0, 0),
-        "ended": EndedLives(lives_of(world.ended)).rows(),
+        "ended": EndedIncarnations(lives_of(world.ended)).rows(),
     }
 
 
@@ -246,7 +250,7 @@
         state, sequence, born = world.beats[at]
         rest = world._replace(beats=world.beats[:at] + world.beats[at + 1 :])
         own = own_of(rest)
-        is_known = Life(NAME, born) in own.ended
+        is_known = UpstreamIncarnation(NAME, born) in own.ended
         heard = own.heard(announced(state, sequence, born))
         after = with_own(rest, own)
         if heard is Heard.LEAVING:
@@ -275,7 +279,9 @@
             known = registry.remembered("d")
             after = self.told(world)._replace(linked=True, asked_peer=True)
             if known is not None:
-                after = self.remembers(after, starts_of(EndedLives(from_rows(known))))
+                after = self.remembers(
+                    after, starts_of(EndedIncarnations(incarnations_from_rows(known)))
+                )
             steps.append(("peer connects", self.settles(after)))
         return steps
 
--- a/tests/unit/daemon/test_upstream_task.py
+++ b/tests/unit/daemon/test_upstream_task.py
@@ -9,7 +9,7 @@
 
 from foldhoist.daemon import upstream_task
 from foldhoist.daemon.upstream_task import UpstreamTask
-from foldhoist.membership.lives import Life
+from foldhoist.membership.incarnations import UpstreamIncarnation
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
@@ -131,7 +131,7 @@
     around.task.store_answered((), {"b"})
     assert around.owner.told == []
     assert around.task.described()["instance"] == ""
-    around.task.remember([Life("i-1")])
+    around.task.remember([UpstreamIncarnation("i-1")])
     assert around.owner.told == ["leaving"]
 
 
--- a/tests/unit/membership/test_registry.py
+++ b/tests/unit/membership/test_registry.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from foldhoist.membership.lives import Life
+from foldhoist.membership.incarnations import UpstreamIncarnation
 from foldhoist.membership.neighbours import FAR, NEAR
 from foldhoist.membership.registry import (
     SILENT_S,
@@ -155,4 +155,4 @@
     assert registry.told(0.1, late) == []
     peer = registry.peers["b"]
     assert peer.upstream == announced()
-    assert Life("i-0") in peer.ended
+    assert UpstreamIncarnation("i-0") in peer.ended
--- a/tests/unit/membership/test_upstream.py
+++ b/tests/unit/membership/test_upstream.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from foldhoist.membership.lives import Life
+from foldhoist.membership.incarnations import UpstreamIncarnation
 from foldhoist.membership.upstream import Heard, OwnUpstream
 from tests.unit.membership.test_registry import announced
 
@@ -34,11 +34,11 @@
 def test_an_end_that_an_earlier_daemon_acknowledged_binds() -> None:
     own = OwnUpstream()
     own.heard(beat("i-1", 1))  # type: ignore[arg-type]
-    assert own.remember([Life("i-1")])
+    assert own.remember([UpstreamIncarnation("i-1")])
     assert own.current is not None
     assert own.current["state"] == "leaving"
     early = OwnUpstream()
-    early.remember([Life("i-1")])
+    early.remember([UpstreamIncarnation("i-1")])
     assert early.heard(beat("i-1", 1)) is Heard.NOTHING  # type: ignore[arg-type]
     assert early.current is None
 
@@ -86,7 +86,7 @@
                 own.left(instance, 0.0, 0)
                 ended.add(instance)
             case "remembered":
-                own.remember([Life(instance)])
+                own.remember([UpstreamIncarnation(instance)])
                 ended.add(instance)
             case _:
                 heard = own.heard(beat(instance, sequence, state))  # type: ignore[arg-type]
