--- a/foldhoist/daemon/upstream_task.py
+++ b/foldhoist/daemon/upstream_task.py
@@ -11,7 +11,7 @@
 
 from foldhoist.admission.bucket import TokenBucket
 from foldhoist.membership.incarnations import UpstreamIncarnation, incarnation_of
-from foldhoist.membership.settling import Settling
+from foldhoist.membership.startup_barrier import StartupBarrier
 from foldhoist.membership.upstream import Heard, OwnUpstream
 
 if TYPE_CHECKING:
@@ -75,7 +75,7 @@
         self._owner_task = owner_task
         self._on_change = on_change
         self._service = service
-        self._settling = Settling(first=False)
+        self._barrier = StartupBarrier(first=False)
         self._settled = False
         self._began = 0.0
         self._noted: dict[str, _Binding] = {}
@@ -86,7 +86,7 @@
     def start(self, peers: PeersTask, first: bool) -> None:
         """Begin; the first life of a daemon has nothing to learn of earlier ones."""
         self._peers = peers
-        self._settling = Settling(first)
+        self._barrier = StartupBarrier(first)
         self._began = self._loop.time()
         self._loop.call_later(SETTLE_S, self._give_up)
         self._settle()
@@ -170,18 +170,18 @@
             binding = self._noted.get(life.instance)
             if binding is not None and binding.born_ms <= life.born_ms:
                 binding.done.set()
-        self._settling.peer_answered(name)
+        self._barrier.peer_answered(name)
         self._settle()
 
     def store_answered(self, ended: Iterable[UpstreamIncarnation], peers: AbstractSet[str]) -> None:
         """Take in what the store knows of this daemon's earlier lives, and which peers it names."""
-        self._settling.store_answered(peers)
+        self._barrier.store_answered(peers)
         self._loop.call_later(PEERS_S, self._waited)
         self._take_ended(ended)
 
     def remember(self, ended: Iterable[UpstreamIncarnation]) -> None:
         """Take in what a peer knows of this daemon's earlier lives."""
-        self._settling.peer_remembered()
+        self._barrier.peer_remembered()
         self._take_ended(ended)
 
     # Steps
@@ -194,15 +194,15 @@
         self._settle()
 
     def _waited(self) -> None:
-        self._settling.waited()
+        self._barrier.waited()
         self._settle()
 
     def _give_up(self) -> None:
-        self._settling.give_up()
+        self._barrier.give_up()
         self._settle()
 
     def _settle(self) -> None:
-        if self._settled or not self._settling.done:
+        if self._settled or not self._barrier.done:
             return
         self._settled = True
         logger.info(
--- a/foldhoist/membership/settling.py
+++ b/foldhoist/membership/startup_barrier.py
@@ -12,7 +12,7 @@
     from collections.abc import Set as AbstractSet
 
 
-class Settling:
+class StartupBarrier:
     """What a new life has heard; the first life of a daemon has nothing to hear."""
 
     def __init__(self, first: bool) -> None:
--- a/tests/model/leaving_spec.py
+++ b/tests/model/leaving_spec.py
@@ -19,7 +19,7 @@
     incarnations_from_rows,
 )
 from foldhoist.membership.registry import Peer, Registration, Registry
-from foldhoist.membership.settling import Settling
+from foldhoist.membership.startup_barrier import StartupBarrier
 from foldhoist.membership.upstream import Heard, OwnUpstream
 from tests.model.checking import protocol
 
@@ -293,12 +293,12 @@
 
     def settles(self, world: World) -> World:
         """The daemon may serve once it has heard enough."""
-        settling = Settling(first=world.settled)
+        barrier = StartupBarrier(first=world.settled)
         if world.asked_store:
-            settling.store_answered({"p"})
+            barrier.store_answered({"p"})
         if world.asked_peer:
-            settling.peer_remembered()
-        enough = settling.done
+            barrier.peer_remembered()
+        enough = barrier.done
         if not self.rules.hear_store_and_peer:
             enough = enough or world.asked_store or world.asked_peer
         return world._replace(settled=enough)
