--- a/foldhoist/routing/picker.py
+++ b/foldhoist/routing/picker.py
@@ -15,13 +15,13 @@
     shown,
 )
 from foldhoist.routing.times import RouteTimes
-from foldhoist.routing.track import Track
+from foldhoist.routing.upstream_stats import UpstreamStats
 
 if TYPE_CHECKING:
     from collections.abc import Container, Iterable
     from random import Random
 
-    from foldhoist.routing.track import Sent
+    from foldhoist.routing.upstream_stats import SentCall
     from foldhoist.schema.messages import Load
 
 NO_CONNECTION = "no-upstream-connected"
@@ -90,18 +90,18 @@
         self.rng = rng
         self.evacuated: frozenset[str] = frozenset()
         self.cold_s = 0.0
-        self.tracks: dict[str, Track] = {}
+        self.tracks: dict[str, UpstreamStats] = {}
         self.times = RouteTimes()
         self._started = False
 
     def members(self, members: Iterable[Member], now: float) -> None:
         """Set the upstreams to choose from; those known already keep what is known of them."""
-        kept: dict[str, Track] = {}
+        kept: dict[str, UpstreamStats] = {}
         for member in members:
             track = self.tracks.get(member.name)
             if track is None:
                 since = now if self._started else now - RAMP_S
-                track = Track(member.name, member.data_centre, member.slots, since)
+                track = UpstreamStats(member.name, member.data_centre, member.slots, since)
             kept[member.name] = track
         self.tracks = kept
         self._started = True
@@ -118,9 +118,9 @@
 
         `remote_s` is what a call of this route to another data centre costs beside its time.
         """
-        open_ones: list[Track] = []
-        ejected: list[Track] = []
-        trial: Track | None = None
+        open_ones: list[UpstreamStats] = []
+        ejected: list[UpstreamStats] = []
+        trial: UpstreamStats | None = None
         for track in self.tracks.values():
             if not track.linked or not track.standing or track.name in excluded:
                 continue
@@ -153,7 +153,7 @@
             track, scores = choose(self.policy, open_ones, now, self.rng, scaled_s, self.cold_s)
         return self._chosen(track, reason, open_ones, now, explain, scores)
 
-    def _on_trial(self, excluded: Container[str]) -> list[Track]:
+    def _on_trial(self, excluded: Container[str]) -> list[UpstreamStats]:
         return [
             track
             for track in self.tracks.values()
@@ -166,9 +166,9 @@
 
     def _chosen(
         self,
-        track: Track,
+        track: UpstreamStats,
         reason: str,
-        among: list[Track],
+        among: list[UpstreamStats],
         now: float,
         explain: bool,
         scores: list[float] | None = None,
@@ -260,7 +260,7 @@
         if up and fresh:
             self._forget(track, now)
 
-    def _learn(self, sent: Sent, ahead: int, pace: int) -> None:
+    def _learn(self, sent: SentCall, ahead: int, pace: int) -> None:
         match self.policy:
             case Mixed(trust=trust, paces=paces):
                 if ahead >= 0:
@@ -268,7 +268,7 @@
                 if pace:
                     paces.learned(pace)
 
-    def _forget(self, track: Track, now: float) -> None:
+    def _forget(self, track: UpstreamStats, now: float) -> None:
         if track.load is not None or track.results:
             track.since = now
         track.standing = True
@@ -278,20 +278,20 @@
         track.load = None
         track.others = 0
 
-    def _take_state(self, track: Track, load: Load) -> None:
+    def _take_state(self, track: UpstreamStats, load: Load) -> None:
         track.standing = load["state"] not in ("leaving", "down", "refusing")
 
-    def _trial(self, track: Track, now: float) -> Track | None:
+    def _trial(self, track: UpstreamStats, now: float) -> UpstreamStats | None:
         """Return the upstream if a call is to find out now whether it has recovered."""
         return track if track.in_flight == 0 and now - track.last_at >= TRIAL_PAUSE_S else None
 
-    def _has_room(self, track: Track, now: float) -> bool:
+    def _has_room(self, track: UpstreamStats, now: float) -> bool:
         age = now - track.since
         if age >= RAMP_S:
             return True
         return track.in_flight < max(1.0, track.slots * age / RAMP_S)
 
-    def _judge(self, track: Track, now: float, latency_s: float, failed: bool) -> None:
+    def _judge(self, track: UpstreamStats, now: float, latency_s: float, failed: bool) -> None:
         track.measured(now, latency_s, failed)
         if track.trial_left:
             self._judge_trial(track, now, latency_s, failed)
@@ -301,7 +301,9 @@
         if track.errors >= EJECT_ERRORS or self._is_slow(track.latency_s, track.name):
             self._eject(track, now)
 
-    def _judge_trial(self, track: Track, now: float, latency_s: float, failed: bool) -> None:
+    def _judge_trial(
+        self, track: UpstreamStats, now: float, latency_s: float, failed: bool
+    ) -> None:
         if failed or self._is_slow(latency_s, track.name):
             self._eject(track, now)
             return
@@ -321,7 +323,7 @@
         ]
         return bool(others) and latency_s > EJECT_SLOWER * median(others)
 
-    def _eject(self, track: Track, now: float) -> None:
+    def _eject(self, track: UpstreamStats, now: float) -> None:
         out = sum(1 for each in self.tracks.values() if each.ejected_until > now)
         if out + 1 > self.eject_share * len(self.tracks):
             return
--- a/foldhoist/routing/policies.py
+++ b/foldhoist/routing/policies.py
@@ -5,15 +5,15 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, NamedTuple, TypeAlias
 
-from foldhoist.routing.times import Paces
-from foldhoist.routing.track import STALE_S, UNKNOWN_SERVICE_S
+from foldhoist.routing.times import PaceEstimates
 from foldhoist.routing.trust import Trust
+from foldhoist.routing.upstream_stats import STALE_S, UNKNOWN_SERVICE_S
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
     from random import Random
 
-    from foldhoist.routing.track import Track
+    from foldhoist.routing.upstream_stats import UpstreamStats
 
 REMOTE_COST_S = 0.001
 """What a call to another data centre costs beside its service time, seconds."""
@@ -68,7 +68,7 @@
 
     data_centre: str = ""
     trust: Trust = field(default_factory=Trust)
-    paces: Paces = field(default_factory=Paces)
+    paces: PaceEstimates = field(default_factory=PaceEstimates)
 
 
 Policy: TypeAlias = RandomChoice | RoundRobin | LeastInFlight | TwoChoices | HotCold | Mixed
@@ -104,12 +104,12 @@
 
 def choose(
     policy: Policy,
-    among: Sequence[Track],
+    among: Sequence[UpstreamStats],
     now: float,
     rng: Random,
     remote_s: float = REMOTE_COST_S,
     cold_s: float = 0.0,
-) -> tuple[Track, list[float] | None]:
+) -> tuple[UpstreamStats, list[float] | None]:
     """Return the upstream that the policy picks, and expected times if it needed those.
 
     `among` is not empty.
@@ -122,7 +122,9 @@
     return _choose_plainly(policy, among, now, rng), None
 
 
-def _choose_plainly(policy: Policy, among: Sequence[Track], now: float, rng: Random) -> Track:
+def _choose_plainly(
+    policy: Policy, among: Sequence[UpstreamStats], now: float, rng: Random
+) -> UpstreamStats:
     match policy:
         case RoundRobin():
             policy.turn += 1
@@ -137,11 +139,11 @@
 
 
 def expected_s(
-    among: Sequence[Track],
+    among: Sequence[UpstreamStats],
     data_centre: str,
     now: float,
     trust: float = 1.0,
-    paces: Paces | None = None,
+    paces: PaceEstimates | None = None,
     remote_s: float = REMOTE_COST_S,
     cold_s: float = 0.0,
 ) -> list[float]:
@@ -177,7 +179,7 @@
     return costs
 
 
-def _crowding(track: Track, now: float, trust: float) -> float:
+def _crowding(track: UpstreamStats, now: float, trust: float) -> float:
     occupancy = track.occupancy(now, trust)
     slots = track.slots
     factor = 1.0 + occupancy / slots
@@ -187,7 +189,7 @@
 
 
 def shown(
-    among: Sequence[Track], chosen: Track, scores: Sequence[float], now: float
+    among: Sequence[UpstreamStats], chosen: UpstreamStats, scores: Sequence[float], now: float
 ) -> tuple[Scored, ...]:
     """Return the inputs of the choice for its record: the chosen one and the next best."""
     best = sorted(range(len(among)), key=scores.__getitem__)[:MOST_SHOWN]
@@ -197,7 +199,7 @@
     return tuple(_scored(among[each], scores[each], now) for each in best)
 
 
-def _scored(track: Track, score: float, now: float) -> Scored:
+def _scored(track: UpstreamStats, score: float, now: float) -> Scored:
     load = track.load
     return Scored(
         track.name,
@@ -210,7 +212,7 @@
     )
 
 
-def _least(among: Sequence[Track], scores: list[float], rng: Random) -> Track:
+def _least(among: Sequence[UpstreamStats], scores: list[float], rng: Random) -> UpstreamStats:
     limit = min(scores) * (1.0 + TIE)
     best = [track for track, score in zip(among, scores, strict=True) if score <= limit]
     if len(best) == 1:
@@ -218,13 +220,15 @@
     return best[int(rng.random() * len(best))]
 
 
-def _less_occupied_of_two(among: Sequence[Track], now: float, rng: Random) -> Track:
+def _less_occupied_of_two(among: Sequence[UpstreamStats], now: float, rng: Random) -> UpstreamStats:
     first = among[int(rng.random() * len(among))]
     second = among[int(rng.random() * len(among))]
     return second if second.occupancy(now) < first.occupancy(now) else first
 
 
-def _hot_cold(policy: HotCold, among: Sequence[Track], now: float, rng: Random) -> Track:
+def _hot_cold(
+    policy: HotCold, among: Sequence[UpstreamStats], now: float, rng: Random
+) -> UpstreamStats:
     levels = [track.occupancy(now) for track in among]
     limit = sorted(levels)[int(policy.quantile * (len(levels) - 1))]
     cold = [track for track, level in zip(among, levels, strict=True) if level <= limit]
--- a/foldhoist/routing/times.py
+++ b/foldhoist/routing/times.py
@@ -54,7 +54,7 @@
         return self._mean / mean
 
 
-class Paces:
+class PaceEstimates:
     """What upstreams of a service say of their pace, and how far an old word still holds."""
 
     __slots__ = ("_mean", "_results")
--- a/foldhoist/routing/track.py
+++ b/foldhoist/routing/upstream_stats.py
@@ -21,7 +21,7 @@
 LN_2 = 0.6931471805599453
 
 
-class Sent(NamedTuple):
+class SentCall(NamedTuple):
     """When a call was sent, and what was believed of its upstream then."""
 
     at: float
@@ -29,7 +29,7 @@
     others: float
 
 
-class Track:
+class UpstreamStats:
     """One upstream as this daemon sees it; times are seconds, monotonic."""
 
     __slots__ = (
@@ -64,7 +64,7 @@
         self.linked = False
         self.standing = True
         self.in_flight = 0
-        self.sent_at: dict[int, Sent] = {}
+        self.sent_at: dict[int, SentCall] = {}
         self.latency_s = 0.0
         self.errors = 0.0
         self.last_at = now
@@ -81,10 +81,10 @@
 
     def sent(self, seq: int, now: float) -> None:
         """Count a call that was just sent, with what was expected of it."""
-        self.sent_at[seq] = Sent(now, self.in_flight, self.faded_others(now))
+        self.sent_at[seq] = SentCall(now, self.in_flight, self.faded_others(now))
         self.in_flight += 1
 
-    def ended(self, seq: int) -> Sent | None:
+    def ended(self, seq: int) -> SentCall | None:
         """Count the end of a call; return what was noted of it, or None if it was not counted."""
         sent = self.sent_at.pop(seq, None)
         if sent is not None:
--- a/tests/adapter/test_pace.py
+++ b/tests/adapter/test_pace.py
@@ -8,13 +8,13 @@
 from tests.adapter.cluster import Cluster, played, route, until
 
 if TYPE_CHECKING:
-    from foldhoist.routing.track import Track
+    from foldhoist.routing.upstream_stats import UpstreamStats
 
 CALLS = 40
 """Calls after which an upstream is in use."""
 
 
-async def in_use(cluster: Cluster) -> Track:
+async def in_use(cluster: Cluster) -> UpstreamStats:
     """Start an ingress and one upstream with calls; return what the ingress knows of it."""
     await cluster.add("a", service="web")
     await cluster.add("b")
--- a/tests/unit/routing/test_times.py
+++ b/tests/unit/routing/test_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from foldhoist.routing.times import PACE_S, RESULTS, Paces, RouteTimes
+from foldhoist.routing.times import PACE_S, RESULTS, PaceEstimates, RouteTimes
 
 
 def test_routes_are_brought_to_one_scale() -> None:
@@ -26,7 +26,7 @@
 
 
 def test_a_pace_counts_less_as_it_gets_older() -> None:
-    paces = Paces()
+    paces = PaceEstimates()
     for pace in (100, 100, 100, 400) * 50:
         paces.learned(pace)
     fresh, old = paces.factor(400, 0.0), paces.factor(400, 10 * PACE_S)
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -97,7 +97,7 @@
     ),
     Ablation(
         "reports-of-load",
-        "foldhoist/routing/track.py",
+        "foldhoist/routing/upstream_stats.py",
         "return self.in_flight + trust * self.faded_others(now)",
         "return float(self.in_flight)",
     ),
