--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -342,11 +342,11 @@
 
     def _on_seats(self, hosts: frozenset[str]) -> None:
         """Keep connections to the hosts that keep quotas."""
-        self.registry.keepers = hosts
+        self.registry.quota_servers = hosts
         self.peers.rewire_soon()
 
     def _on_rewired(self) -> None:
-        self.readers.place([self.name, *self.registry.neighbours.centre()])
+        self.readers.place([self.name, *self.registry.neighbours.local_daemons()])
         self._track()
 
     def _track(self) -> None:
--- a/foldhoist/daemon/peer_messages.py
+++ b/foldhoist/daemon/peer_messages.py
@@ -21,11 +21,11 @@
     def outbound(self, name: str, kind: str, body: Any) -> None:
         """Take in a message on a connection that this daemon opened."""
         daemon = self._daemon
-        daemon.registry.heard(asyncio.get_running_loop().time(), name)
+        daemon.registry.record_contact(asyncio.get_running_loop().time(), name)
         match kind:
             case "Member":
                 daemon.peers.told(body)
-                ended = daemon.registry.remembered(name)
+                ended = daemon.registry.ended_incarnations(name)
                 if ended is not None:
                     daemon.links.send(name, "Remembered", {"ended": ended})
             case "Remembered":
@@ -95,7 +95,7 @@
         is_new = known is None or known.incarnation != member["incarnation"]
         daemon.peers.told(member)
         reply = daemon.owner_task.reply
-        ended = daemon.registry.remembered(member["name"])
+        ended = daemon.registry.ended_incarnations(member["name"])
         if ended is not None:
             reply(link, "Remembered", {"ended": ended})
         # It may have been told on a connection of this daemon's, before something changed.
--- a/foldhoist/daemon/peers_task.py
+++ b/foldhoist/daemon/peers_task.py
@@ -10,12 +10,12 @@
 
 from foldhoist.membership.incarnations import incarnations_from_rows
 from foldhoist.membership.registry import (
-    Changed,
     Connect,
     Disconnect,
     Registration,
-    held_call,
-    held_suspect,
+    UpstreamChanged,
+    quarantined_call,
+    suspect_of,
 )
 
 if TYPE_CHECKING:
@@ -105,12 +105,12 @@
 
     def told(self, member: Member) -> None:
         """Take in what a peer tells of itself."""
-        self.carry_out(self.registry.told(self._loop.time(), member))
+        self.carry_out(self.registry.update_member(self._loop.time(), member))
         self._links.hurry(member["name"])
 
     def roster(self, message: Roster) -> None:
         """Take in what a peer knows of daemons; pass it on in this data centre if it says so."""
-        self.carry_out(self.registry.passed_on(self._loop.time(), message["rows"]))
+        self.carry_out(self.registry.add_relayed(self._loop.time(), message["rows"]))
         if not message["spread"]:
             return
         self._news.update((row["name"], row) for row in message["rows"])
@@ -123,7 +123,7 @@
 
     def linked(self, name: str) -> None:
         """Take in that a peer was reached: tell it who this is, and ask it for all it knows."""
-        self.registry.linked(self._loop.time(), name, True)
+        self.registry.set_connected(self._loop.time(), name, True)
         self._tell_member(name)
         if name in self.registry.neighbours.relays():
             self._links.send(name, "Roster", self._own_news())
@@ -134,7 +134,7 @@
     def lost(self, name: str) -> None:
         """Take in that the connection to a peer fell, perhaps with what it was told last."""
         self._told.pop(name, None)
-        self.registry.linked(self._loop.time(), name, False)
+        self.registry.set_connected(self._loop.time(), name, False)
 
     def carry_out(self, actions: list[Action]) -> None:
         """Open and close connections, and tell who changed."""
@@ -149,7 +149,7 @@
                 case Disconnect(name):
                     logger.info("peer {} forgotten", name)
                     self._links.forget(name)
-                case Changed(name):
+                case UpstreamChanged(name):
                     changed.append(name)
         if changed:
             self._on_change(changed)
@@ -255,12 +255,15 @@
             return False
         new = self._registration()
         old = self._record
-        same = old._replace(incarnation=new.incarnation, ended=new.ended, held=new.held) == new
-        held = {each.call for each in old.held}
+        same = (
+            old._replace(incarnation=new.incarnation, ended=new.ended, quarantined=new.quarantined)
+            == new
+        )
+        held = {each.call for each in old.quarantined}
         return (
             same
             and set(new.ended) <= set(old.ended)
-            and all(each.call in held for each in new.held)
+            and all(each.call in held for each in new.quarantined)
         )
 
     async def _until_done(self, step: Callable[[], Any]) -> None:
@@ -278,7 +281,7 @@
         self._record = own[0] if own else None
         self._may_write = True
         self._take_held(answer.ok)
-        self.carry_out(self.registry.stored(self._loop.time(), answer.ok))
+        self.carry_out(self.registry.add_records(self._loop.time(), answer.ok))
         self._rewire()
         self._on_own(own[0].ended if own else (), set(self._wanted))
         self.listed.set()
@@ -288,7 +291,7 @@
         """Take in which calls end upstreams, as this daemon and others have written it."""
         now, wall_ms = self._loop.time(), int(time.time() * 1000)
         for record in records:
-            suspects = [held_suspect(each, wall_ms) for each in record.held]
+            suspects = [suspect_of(each, wall_ms) for each in record.quarantined]
             if record.name == self.registry.name:
                 self._quarantine.keep(now, suspects)
             else:
@@ -305,7 +308,7 @@
             member["data_centre"],
             tuple(incarnations_from_rows(member["ended"])),
             member["upstream"]["service"],
-            tuple(held_call(row, wall_ms) for row in held),
+            tuple(quarantined_call(row, wall_ms) for row in held),
         )
 
     def _own_row(self) -> Row:
@@ -336,7 +339,7 @@
         self._wanted = self.registry.wanted(now)
         for name in self._wanted:
             if not self._links.is_up(name):
-                self.registry.linked(now, name, False)
+                self.registry.set_connected(now, name, False)
         self._links.want(self._wanted)
         self._on_rewired()
 
@@ -347,7 +350,7 @@
             self._rewire()
             now = self._loop.time()
             for name in self._links.keep(self._wanted, now, self._is_busy):
-                self.registry.parted(now, name)
+                self.registry.stop_connecting(now, name)
 
     async def _expire(self) -> None:
         while True:
--- a/foldhoist/daemon/upstream_task.py
+++ b/foldhoist/daemon/upstream_task.py
@@ -12,7 +12,7 @@
 from foldhoist.admission.bucket import TokenBucket
 from foldhoist.membership.incarnations import UpstreamIncarnation, incarnation_of
 from foldhoist.membership.startup_barrier import StartupBarrier
-from foldhoist.membership.upstream import Heard, OwnUpstream
+from foldhoist.membership.upstream import AnnouncementResult, OwnUpstream
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -121,8 +121,8 @@
             return False
         self.count.heard += 1
         before = self.known.current
-        heard = self.known.heard(announced, self._loop.time())
-        if heard is not Heard.NOTHING:
+        heard = self.known.apply_announcement(announced, self._loop.time())
+        if heard is not AnnouncementResult.NOTHING:
             logger.info(
                 "upstream {} of {}: {}, sequence {}",
                 _told(incarnation_of(announced)),
@@ -133,7 +133,7 @@
             self._changed(before)
         elif self.known.current is announced:
             self._owner_task.heard_again(announced["cold_ms"] / 1000)
-        if heard is Heard.LEAVING:
+        if heard is AnnouncementResult.LEAVING:
             await self._bind(incarnation_of(announced))
         elif announced["state"] != "ready":
             await self._until_noted(announced["instance"])
@@ -152,11 +152,11 @@
         """
         before = self.known.current
         wall_ms = int(time.time() * 1000)
-        match self.known.left(instance, self._loop.time(), wall_ms, born_ms):
-            case Heard.UNSURE:
+        match self.known.apply_departure(instance, self._loop.time(), wall_ms, born_ms):
+            case AnnouncementResult.UNSURE:
                 logger.info("upstream {} is said to be gone, perhaps its life before", instance)
                 return False
-            case Heard.NOTHING:
+            case AnnouncementResult.NOTHING:
                 await self._until_noted(instance)
                 return True
         logger.info("upstream {} is gone, by its own word", instance)
@@ -188,13 +188,13 @@
 
     def _take_ended(self, ended: Iterable[UpstreamIncarnation]) -> None:
         before = self.known.current
-        if self.known.remember(ended):
+        if self.known.add_ended(ended):
             logger.info("upstream was leaving before this daemon started")
             self._changed(before)
         self._settle()
 
     def _waited(self) -> None:
-        self._barrier.waited()
+        self._barrier.wait_elapsed()
         self._settle()
 
     def _give_up(self) -> None:
--- a/foldhoist/membership/ring.py
+++ b/foldhoist/membership/hash_ring.py
@@ -10,7 +10,7 @@
     from collections.abc import Iterator
 
 
-class Ring:
+class HashRing:
     """Names in the order of their hash; the last is followed by the first."""
 
     def __init__(self) -> None:
--- a/foldhoist/membership/registry.py
+++ b/foldhoist/membership/registry.py
@@ -34,7 +34,7 @@
 """
 
 
-class HeldCall(NamedTuple):
+class QuarantinedCall(NamedTuple):
     """A call that is refused since upstreams have ended under it, as the store keeps it.
 
     `at_ms` is when the last of these crashes was, milliseconds of wall clock.
@@ -54,7 +54,7 @@
     data_centre: str
     ended: tuple[UpstreamIncarnation, ...] = ()
     service: str = ""
-    held: tuple[HeldCall, ...] = ()
+    quarantined: tuple[QuarantinedCall, ...] = ()
 
     @property
     def has_address(self) -> bool:
@@ -80,13 +80,13 @@
 _REGISTRATIONS = msgspec.json.Decoder(Registration)
 
 
-def held_call(suspect: Suspect, wall_ms: int) -> HeldCall:
+def quarantined_call(suspect: Suspect, wall_ms: int) -> QuarantinedCall:
     """Return how the store keeps a call that is refused."""
     crashes = set(suspect["crashes"]) - set(suspect["refuted"])
-    return HeldCall(suspect["call"], tuple(sorted(crashes)), wall_ms - suspect["age_ms"])
+    return QuarantinedCall(suspect["call"], tuple(sorted(crashes)), wall_ms - suspect["age_ms"])
 
 
-def held_suspect(held: HeldCall, wall_ms: int) -> Suspect:
+def suspect_of(held: QuarantinedCall, wall_ms: int) -> Suspect:
     """Return what the store says of a call that is refused; a clock set back makes it new."""
     age_ms = max(0, wall_ms - held.at_ms)
     return {"call": held.call, "crashes": list(held.crashes), "refuted": [], "age_ms": age_ms}
@@ -105,13 +105,13 @@
     name: str
 
 
-class Changed(NamedTuple):
+class UpstreamChanged(NamedTuple):
     """The upstream of this peer is another one than before."""
 
     name: str
 
 
-Action: TypeAlias = Connect | Disconnect | Changed
+Action: TypeAlias = Connect | Disconnect | UpstreamChanged
 
 
 class Peer:
@@ -164,10 +164,10 @@
         self.data_centre = data_centre
         self.peers: dict[str, Peer] = {}
         self.neighbours = Neighbours(name, data_centre)
-        self.keepers: frozenset[str] = frozenset()
+        self.quota_servers: frozenset[str] = frozenset()
         self._at: dict[str, str] = {}
 
-    def stored(
+    def add_records(
         self, now: float, records: Iterable[Registration], *, hearsay: bool = False
     ) -> list[Action]:
         """Take in records of the store; what a peer itself has told is not replaced.
@@ -189,7 +189,7 @@
             actions += self._place(now, Peer(record, now, hearsay=hearsay))
         return actions
 
-    def passed_on(self, now: float, rows: Iterable[Row]) -> list[Action]:
+    def add_relayed(self, now: float, rows: Iterable[Row]) -> list[Action]:
         """Take in what others know of daemons."""
         records = [
             Registration(
@@ -202,9 +202,9 @@
             )
             for row in rows
         ]
-        return self.stored(now, records, hearsay=True)
+        return self.add_records(now, records, hearsay=True)
 
-    def told(self, now: float, member: Member) -> list[Action]:
+    def update_member(self, now: float, member: Member) -> list[Action]:
         """Take in what a peer tells of itself on a connection of its own."""
         name = member["name"]
         if name == self.name:
@@ -230,16 +230,16 @@
         peer.upstream = member["upstream"]
         self._serves(peer, member["upstream"]["service"])
         if _identity(peer.upstream) != before:
-            actions.append(Changed(name))
+            actions.append(UpstreamChanged(name))
         return actions
 
-    def heard(self, now: float, name: str) -> None:
+    def record_contact(self, now: float, name: str) -> None:
         """Take in a sign of life of a peer."""
         peer = self.peers.get(name)
         if peer is not None:
             peer.heard_at = now
 
-    def linked(self, now: float, name: str, up: bool) -> None:
+    def set_connected(self, now: float, name: str, up: bool) -> None:
         """Take in that a connection to a peer stands, or is wanted and does not."""
         peer = self.peers.get(name)
         if peer is None:
@@ -249,7 +249,7 @@
         elif peer.missing_since is None:
             peer.missing_since = now
 
-    def parted(self, now: float, name: str) -> None:
+    def stop_connecting(self, now: float, name: str) -> None:
         """Take in that no connection to a peer is wanted any more: nothing new is heard of it."""
         peer = self.peers.get(name)
         if peer is not None:
@@ -266,10 +266,10 @@
                 continue
             if now - peer.heard_at > SILENT_S:
                 self._remove(peer)
-                actions += [Disconnect(name), Changed(name)]
+                actions += [Disconnect(name), UpstreamChanged(name)]
         return actions
 
-    def remembered(self, name: str) -> list[EndedLife] | None:
+    def ended_incarnations(self, name: str) -> list[EndedLife] | None:
         """Return the ended lives of a peer's upstreams for its present life.
 
         None if no earlier life of it was known here.
@@ -292,10 +292,10 @@
 
     def wanted(self, now: float) -> set[str]:
         """Return the peers to keep connections to."""
-        found = {*self.neighbours.centre(), *self.neighbours.relays()}
-        found.update(self.keepers & self.peers.keys())
+        found = {*self.neighbours.local_daemons(), *self.neighbours.relays()}
+        found.update(self.quota_servers & self.peers.keys())
         for service in self.neighbours.services:
-            found.update(self.neighbours.far(service, lambda name: self._is_usable(now, name)))
+            found.update(self.neighbours.remote(service, lambda name: self._is_usable(now, name)))
         return found
 
     def tracked(self, now: float, own: Announced | None) -> dict[str, list[Tracked]]:
@@ -308,8 +308,8 @@
         if own is not None and _stands(own):
             found[own["service"]] = [Tracked(self.name, self.data_centre, own["slots"])]
         for service in self.neighbours.services:
-            near = self.neighbours.near(service, is_usable)
-            for name in near + self.neighbours.far(service, is_usable):
+            near = self.neighbours.local(service, is_usable)
+            for name in near + self.neighbours.remote(service, is_usable):
                 peer = self.peers[name]
                 if peer.upstream is None or not _stands(peer.upstream):
                     continue
@@ -339,7 +339,7 @@
         holder = self._at.get(peer.frames)
         if holder is not None and holder != peer.name:
             self._remove(self.peers[holder])
-            actions += [Disconnect(holder), Changed(holder)]
+            actions += [Disconnect(holder), UpstreamChanged(holder)]
         before = self.peers.get(peer.name)
         if before is not None:
             peer.ended = EndedIncarnations(
@@ -348,7 +348,7 @@
             is_other_life = before.incarnation != peer.incarnation and not before.hearsay
             peer.earlier = before.earlier or is_other_life
             peer.service = peer.service or before.service
-            actions.append(Changed(peer.name))
+            actions.append(UpstreamChanged(peer.name))
             self._remove(before)
         self.add(peer)
         actions.append(Connect(peer.name, peer.frames))
--- a/foldhoist/membership/startup_barrier.py
+++ b/foldhoist/membership/startup_barrier.py
@@ -43,7 +43,7 @@
         """Take in that a peer has answered, whether it knew an earlier life or not."""
         self._answered.add(name)
 
-    def waited(self) -> None:
+    def wait_elapsed(self) -> None:
         """Take in that every peer that can be reached had time to answer."""
         self._waited = True
 
--- a/foldhoist/membership/upstream.py
+++ b/foldhoist/membership/upstream.py
@@ -36,7 +36,7 @@
 """
 
 
-class Heard(Enum):
+class AnnouncementResult(Enum):
     """What an announcement changed."""
 
     NOTHING = "nothing"
@@ -57,37 +57,41 @@
         self._heard_at = 0.0
         self._again_at = float("-inf")
 
-    def heard(self, announced: Announced, now: float = 0.0) -> Heard:
+    def apply_announcement(self, announced: Announced, now: float = 0.0) -> AnnouncementResult:
         """Take in an announcement; a late one changes nothing."""
         life = incarnation_of(announced)
         current = self.current
         known = incarnation_of(current) if current is not None else None
         if life in self.ended:
-            return Heard.NOTHING
+            return AnnouncementResult.NOTHING
         if current is not None and known is not None and life.is_same(known):
             if announced["sequence"] <= current["sequence"]:
-                return Heard.NOTHING
+                return AnnouncementResult.NOTHING
             life = max(life, known)
             if life.born_ms != announced["born_ms"]:
                 announced = {**announced, "born_ms": life.born_ms}
         elif not self._may_replace(life, known, now):
-            return Heard.NOTHING
+            return AnnouncementResult.NOTHING
         self._heard_at = now
         if announced["state"] != "ready":
             self.ended.add(life)
             # A life that leaves before any other word of it was heard has ended the one known.
             if known is None or life.is_same(known) or known.is_before(life):
                 self.current = announced
-            return Heard.LEAVING
+            return AnnouncementResult.LEAVING
         if known is not None and not life.is_same(known):
             self._replaced[known] = 0
             _bound(self._replaced)
             if life.instance == known.instance:
                 self._again_at = now
         self.current = announced
-        return Heard.NOTHING if _alike(current, announced) else Heard.STATE
+        return (
+            AnnouncementResult.NOTHING if _alike(current, announced) else AnnouncementResult.STATE
+        )
 
-    def left(self, instance: str, now: float, wall_ms: int, born_ms: int = 0) -> Heard:
+    def apply_departure(
+        self, instance: str, now: float, wall_ms: int, born_ms: int = 0
+    ) -> AnnouncementResult:
         """Take in that a life says that it is gone; `born_ms` is 0 if it names its id alone.
 
         It then is the life that is known, or any that has started until `wall_ms`, the wall clock.
@@ -97,21 +101,21 @@
         is_known = known is not None and life.is_same(known)
         if not born_ms:
             if is_known and now - self._again_at < LATE_S:
-                return Heard.UNSURE
+                return AnnouncementResult.UNSURE
             if not is_known and life in self.ended:
-                return Heard.NOTHING
+                return AnnouncementResult.NOTHING
             life = (
                 known if is_known and known is not None else UpstreamIncarnation(instance, wall_ms)
             )
         if not self.ended.add(life):
-            return Heard.NOTHING
+            return AnnouncementResult.NOTHING
         if known is not None and life.is_before(known):
-            return Heard.NOTHING
+            return AnnouncementResult.NOTHING
         if self.current is not None and known is not None and known in self.ended:
             self.current = {**self.current, "state": "gone"}
-        return Heard.LEAVING
+        return AnnouncementResult.LEAVING
 
-    def remember(self, ended: Iterable[UpstreamIncarnation]) -> bool:
+    def add_ended(self, ended: Iterable[UpstreamIncarnation]) -> bool:
         """Take in lives that an earlier life of this daemon acknowledged; whether one was new."""
         fresh = [life for life in ended if self.ended.add(life)]
         current = self.current
--- a/tests/adapter/test_neighbours.py
+++ b/tests/adapter/test_neighbours.py
@@ -40,9 +40,9 @@
 
 @pytest.fixture
 def few(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(neighbours, "FAR", 1)
-    monkeypatch.setattr(neighbours, "ENOUGH", 1)
-    monkeypatch.setattr(neighbours, "RELAYS", 1)
+    monkeypatch.setattr(neighbours, "MIN_REMOTE", 1)
+    monkeypatch.setattr(neighbours, "MIN_TRACKED", 1)
+    monkeypatch.setattr(neighbours, "RELAYS_PER_DATA_CENTRE", 1)
 
 
 def test_a_newcomer_is_known_to_all_though_it_is_connected_with_some(few: None) -> None:
--- a/tests/model/leaving_spec.py
+++ b/tests/model/leaving_spec.py
@@ -20,7 +20,7 @@
 )
 from foldhoist.membership.registry import Peer, Registration, Registry
 from foldhoist.membership.startup_barrier import StartupBarrier
-from foldhoist.membership.upstream import Heard, OwnUpstream
+from foldhoist.membership.upstream import AnnouncementResult, OwnUpstream
 from tests.model.checking import protocol
 
 if TYPE_CHECKING:
@@ -251,9 +251,9 @@
         rest = world._replace(beats=world.beats[:at] + world.beats[at + 1 :])
         own = own_of(rest)
         is_known = UpstreamIncarnation(NAME, born) in own.ended
-        heard = own.heard(announced(state, sequence, born))
+        heard = own.apply_announcement(announced(state, sequence, born))
         after = with_own(rest, own)
-        if heard is Heard.LEAVING:
+        if heard is AnnouncementResult.LEAVING:
             after = after._replace(binding=born, noted=False, wrote=False)
         elif state == "leaving" and is_known and not self.rules.repeats_wait:
             after = after._replace(acked=max(world.acked, born), binding=0)
@@ -262,7 +262,7 @@
     def told(self, world: World) -> World:
         """The peer takes in what the daemon tells of itself."""
         registry = registry_of(world)
-        registry.told(0.0, member(world))
+        registry.update_member(0.0, member(world))
         peer = registry.peers["d"]
         ended = starts_of(peer.ended) if self.rules.keep_ended else world.ended
         return world._replace(peer=ended, peer_life=world.life)
@@ -275,8 +275,8 @@
             steps.append(("daemon reads its record", self.settles(heard)))
         if not world.linked:
             registry = registry_of(world)
-            registry.told(0.0, member(world))
-            known = registry.remembered("d")
+            registry.update_member(0.0, member(world))
+            known = registry.ended_incarnations("d")
             after = self.told(world)._replace(linked=True, asked_peer=True)
             if known is not None:
                 after = self.remembers(
@@ -288,7 +288,7 @@
     def remembers(self, world: World, ended: tuple[int, ...]) -> World:
         """The daemon takes in lives that have ended."""
         own = own_of(world)
-        own.remember(lives_of(ended))
+        own.add_ended(lives_of(ended))
         return with_own(world, own)
 
     def settles(self, world: World) -> World:
--- a/tests/model/membership_spec.py
+++ b/tests/model/membership_spec.py
@@ -142,7 +142,7 @@
             for peer in registry.peers.values():
                 peer.upstream = None
         records = [Registration(name, name, ADDRESS[name], "one") for name in world.store]
-        registry.stored(0.0, records)
+        registry.add_records(0.0, records)
         return with_registry(world, at, registry)._replace(step=replaced(world.step, at, step))
 
     def passes_on(self, world: World, at: int, name: str) -> list[Step]:
@@ -167,7 +167,7 @@
             for peer in registry.peers.values():
                 peer.upstream = None
         row = {"name": other, "incarnation": other, "frames": ADDRESS[other], "service": "s"}
-        registry.passed_on(0.0, [{**row, "data_centre": "one"}])  # type: ignore[typeddict-item]
+        registry.add_relayed(0.0, [{**row, "data_centre": "one"}])  # type: ignore[typeddict-item]
         return with_registry(world, at, registry)
 
     def links(self, world: World, at: int, name: str) -> list[Step]:
@@ -185,7 +185,7 @@
         for at, other in ((first, second), (second, first)):
             registry = registry_of(world, at)
             if self.rules.one_name_an_address:
-                registry.told(0.0, member(NAMES[other]))
+                registry.update_member(0.0, member(NAMES[other]))
             else:
                 known = Registration(NAMES[other], NAMES[other], ADDRESS[NAMES[other]], "one")
                 registry.add(Peer(known, 0.0))
--- a/tests/unit/daemon/test_peer_messages.py
+++ b/tests/unit/daemon/test_peer_messages.py
@@ -15,7 +15,7 @@
         self.replies: list[str] = []
         self.now_told: set[str] = set()
         known = SimpleNamespace(incarnation="l1")
-        self.registry = SimpleNamespace(peers={"b": known}, remembered=lambda name: None)
+        self.registry = SimpleNamespace(peers={"b": known}, ended_incarnations=lambda name: None)
         self.links = SimpleNamespace(is_up=lambda name: True)
         self.versions = SimpleNamespace(is_behind=lambda member: False)
         self.owner_task = SimpleNamespace(reply=lambda link, kind, body: self.replies.append(kind))
--- a/tests/unit/membership/test_ring.py
+++ b/tests/unit/membership/test_hash_ring.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from foldhoist.membership.ring import Ring
+from foldhoist.membership.hash_ring import HashRing
 
 
 def test_the_names_behind_one_come_once_each_and_not_the_one_itself() -> None:
-    ring = Ring()
+    ring = HashRing()
     names = [f"n{number}" for number in range(20)]
     for name in names:
         ring.add(name)
@@ -19,17 +19,17 @@
 
 
 def test_one_that_is_not_on_the_ring_has_a_place_too() -> None:
-    ring = Ring()
+    ring = HashRing()
     for name in ("a", "b", "c"):
         ring.add(name)
     assert sorted(ring.after("elsewhere")) == ["a", "b", "c"]
 
 
 def test_who_is_taken_out_is_not_met_again() -> None:
-    ring = Ring()
+    ring = HashRing()
     for name in ("a", "b", "c"):
         ring.add(name)
     ring.discard("b")
     ring.discard("b")
     assert sorted(ring) == ["a", "c"]
-    assert list(Ring().after("a")) == []
+    assert list(HashRing().after("a")) == []
--- a/tests/unit/membership/test_neighbours.py
+++ b/tests/unit/membership/test_neighbours.py
@@ -12,8 +12,14 @@
 
 import pytest
 
-from foldhoist.membership import ring as ring_module
-from foldhoist.membership.neighbours import ENOUGH, FAR, NEAR, PASSED_OVER, RELAYS
+from foldhoist.membership import hash_ring
+from foldhoist.membership.neighbours import (
+    MAX_LOCAL,
+    MIN_REMOTE,
+    MIN_TRACKED,
+    RELAYS_PER_DATA_CENTRE,
+    SCAN_FACTOR,
+)
 from foldhoist.membership.registry import AWAY_S, Registration, Registry
 from tests.unit.membership.test_registry import announced, member
 
@@ -35,15 +41,15 @@
 
 def registry_of(own: Registration, everyone: list[Registration]) -> Registry:
     registry = Registry(own.name, own.data_centre)
-    registry.stored(0.0, everyone)
+    registry.add_records(0.0, everyone)
     return registry
 
 
 def most_links(times: int) -> int:
     """Return how many connections a daemon may open in a fleet so many times as large."""
     near = len(fleet(times)) // CENTRES + len(SHARES)
-    far = len(SHARES) * max(FAR, ENOUGH)
-    return near + far + RELAYS * (CENTRES - 1)
+    far = len(SHARES) * max(MIN_REMOTE, MIN_TRACKED)
+    return near + far + RELAYS_PER_DATA_CENTRE * (CENTRES - 1)
 
 
 @pytest.mark.parametrize("times", [1, 6])
@@ -63,7 +69,7 @@
     for own in everyone:
         neighbours = registry_of(own, everyone).neighbours
         for service in SHARES:
-            into.update(neighbours.far(service, lambda _: True))
+            into.update(neighbours.remote(service, lambda _: True))
     for service, count in SHARES.items():
         found = [into[each.name] for each in everyone if each.service == service]
         mean = sum(found) / count
@@ -78,28 +84,28 @@
         if each.name == registry.name or each.name not in registry.wanted(0.0):
             continue
         told = member(each.name, each.frames, announced(f"i-{each.name}", each.service))
-        registry.told(0.0, {**told, "data_centre": each.data_centre})
+        registry.update_member(0.0, {**told, "data_centre": each.data_centre})
     tracked = registry.tracked(0.0, None)
     for service, count in SHARES.items():
         far = [m for m in tracked[service] if m.data_centre != registry.data_centre]
-        assert len(tracked[service]) >= min(ENOUGH, count - count // CENTRES)
-        assert len(far) >= min(FAR, count - count // CENTRES - 1)
-        assert len(tracked[service]) <= NEAR + FAR
+        assert len(tracked[service]) >= min(MIN_TRACKED, count - count // CENTRES)
+        assert len(far) >= min(MIN_REMOTE, count - count // CENTRES - 1)
+        assert len(tracked[service]) <= MAX_LOCAL + MIN_REMOTE
 
 
 def test_one_that_is_away_is_tried_on_and_another_is_taken_beside_it() -> None:
     everyone = fleet(1)
     registry = registry_of(everyone[0], everyone)
     before = registry.wanted(0.0)
-    away = [name for name in registry.neighbours.far("shop", lambda _: True)][:2]
+    away = [name for name in registry.neighbours.remote("shop", lambda _: True)][:2]
     for name in away:
-        registry.linked(1.0, name, up=False)
+        registry.set_connected(1.0, name, up=False)
     assert registry.wanted(1.0 + AWAY_S / 2) == before
     after = registry.wanted(1.0 + 2 * AWAY_S)
     assert set(away) <= after
     assert len(after - before) == 2
     for name in away:
-        registry.linked(5.0, name, up=True)
+        registry.set_connected(5.0, name, up=True)
     assert registry.wanted(5.0) == before
 
 
@@ -107,9 +113,9 @@
     everyone = fleet(1)
     registry = registry_of(everyone[0], everyone)
     for peer in registry.peers.values():
-        registry.linked(0.0, peer.name, up=False)
-    found = registry.neighbours.far("shop", lambda _: False)
-    assert len(found) == PASSED_OVER * max(FAR, ENOUGH - NEAR)
+        registry.set_connected(0.0, peer.name, up=False)
+    found = registry.neighbours.remote("shop", lambda _: False)
+    assert len(found) == SCAN_FACTOR * max(MIN_REMOTE, MIN_TRACKED - MAX_LOCAL)
     assert len(registry.wanted(10.0)) <= 2 * most_links(1)
 
 
@@ -118,21 +124,23 @@
 ) -> None:
     """A word that ranks all peers costs more the larger the fleet is."""
     steps: Counter[int] = Counter()
-    real: Any = ring_module._place
+    real: Any = hash_ring._place
 
     def counted(name: str) -> tuple[bytes, str]:
         steps[times] += 1
         place: tuple[bytes, str] = real(name)
         return place
 
-    monkeypatch.setattr(ring_module, "_place", counted)
+    monkeypatch.setattr(hash_ring, "_place", counted)
     for times in (1, 6):
         everyone = fleet(times)
         registry = registry_of(everyone[0], everyone)
         peer = everyone[7]
         steps[times] = 0
-        registry.told(1.0, {**member(peer.name, peer.frames, announced("i-9", peer.service))})
-        registry.told(2.0, {**member(peer.name, peer.frames, announced("i-9", "pay"))})
+        registry.update_member(
+            1.0, {**member(peer.name, peer.frames, announced("i-9", peer.service))}
+        )
+        registry.update_member(2.0, {**member(peer.name, peer.frames, announced("i-9", "pay"))})
     assert steps[1] == steps[6] <= 12
 
 
@@ -140,11 +148,11 @@
     """It would let a restarted daemon serve before one that noted a leaving has told it."""
     registry = Registry("me", "one")
     row = {"name": "b", "incarnation": "l0", "frames": "b:1", "data_centre": "one", "service": "s"}
-    registry.passed_on(0.0, [row])  # type: ignore[list-item]
-    registry.told(1.0, member("b", "b:1"))
-    assert registry.remembered("b") is None
-    registry.told(2.0, member("b", "b:1", life="l2"))
-    assert registry.remembered("b") == []
+    registry.add_relayed(0.0, [row])  # type: ignore[list-item]
+    registry.update_member(1.0, member("b", "b:1"))
+    assert registry.ended_incarnations("b") is None
+    registry.update_member(2.0, member("b", "b:1", life="l2"))
+    assert registry.ended_incarnations("b") == []
 
 
 def test_a_daemon_that_serves_another_service_now_is_found_there() -> None:
@@ -159,6 +167,6 @@
         "data_centre": moved.data_centre,
         "service": "new",
     }
-    registry.passed_on(1.0, [row])  # type: ignore[list-item]
+    registry.add_relayed(1.0, [row])  # type: ignore[list-item]
     assert moved.name in registry.wanted(1.0)
-    assert registry.neighbours.far("new", lambda _: True) == [moved.name]
+    assert registry.neighbours.remote("new", lambda _: True) == [moved.name]
--- a/tests/unit/membership/test_registry.py
+++ b/tests/unit/membership/test_registry.py
@@ -5,14 +5,14 @@
 from typing import TYPE_CHECKING, Any
 
 from foldhoist.membership.incarnations import UpstreamIncarnation
-from foldhoist.membership.neighbours import FAR, NEAR
+from foldhoist.membership.neighbours import MAX_LOCAL, MIN_REMOTE
 from foldhoist.membership.registry import (
     SILENT_S,
-    Changed,
     Connect,
     Disconnect,
     Registration,
     Registry,
+    UpstreamChanged,
 )
 
 if TYPE_CHECKING:
@@ -54,30 +54,30 @@
 def test_a_record_of_the_store_opens_a_connection_once() -> None:
     registry = Registry("me", "one")
     record = Registration("b", "l1", "b:1", "two")
-    assert registry.stored(0.0, [record]) == [Connect("b", "b:1")]
-    assert registry.stored(1.0, [record]) == []
-    assert registry.stored(1.0, [Registration("me", "l", "me:1", "one")]) == []
+    assert registry.add_records(0.0, [record]) == [Connect("b", "b:1")]
+    assert registry.add_records(1.0, [record]) == []
+    assert registry.add_records(1.0, [Registration("me", "l", "me:1", "one")]) == []
 
 
 def test_a_peers_own_word_goes_before_an_older_record() -> None:
     registry = Registry("me", "one")
-    registry.told(0.0, member("b", "b:2"))
-    assert registry.stored(1.0, [Registration("b", "l0", "b:1", "one")]) == []
+    registry.update_member(0.0, member("b", "b:2"))
+    assert registry.add_records(1.0, [Registration("b", "l0", "b:1", "one")]) == []
     assert registry.peers["b"].frames == "b:2"
 
 
 def test_an_upstream_that_is_another_one_is_told() -> None:
     registry = Registry("me", "one")
-    assert Changed("b") in registry.told(0.0, member("b", "b:1"))
-    assert registry.told(0.1, member("b", "b:1")) == []
-    changed = registry.told(0.2, member("b", "b:1", announced("i-2", "pay")))
-    assert changed == [Changed("b")]
+    assert UpstreamChanged("b") in registry.update_member(0.0, member("b", "b:1"))
+    assert registry.update_member(0.1, member("b", "b:1")) == []
+    changed = registry.update_member(0.2, member("b", "b:1", announced("i-2", "pay")))
+    assert changed == [UpstreamChanged("b")]
 
 
 def test_an_address_that_another_daemon_has_now_ends_the_former_peer() -> None:
     registry = Registry("me", "one")
-    registry.told(0.0, member("b", "b:1"))
-    actions = registry.told(1.0, member("c", "b:1"))
+    registry.update_member(0.0, member("b", "b:1"))
+    actions = registry.update_member(1.0, member("c", "b:1"))
     assert Disconnect("b") in actions
     assert Connect("c", "b:1") in actions
     assert set(registry.peers) == {"c"}
@@ -85,10 +85,10 @@
 
 def test_a_peer_that_cannot_be_reached_is_forgotten_only_after_long() -> None:
     registry = Registry("me", "one")
-    registry.told(0.0, member("b", "b:1"))
+    registry.update_member(0.0, member("b", "b:1"))
     assert registry.expire(SILENT_S + 1, set()) == [], "no connection to it was wanted"
-    registry.told(0.0, member("b", "b:1"))
-    registry.linked(0.0, "b", up=False)
+    registry.update_member(0.0, member("b", "b:1"))
+    registry.set_connected(0.0, "b", up=False)
     assert registry.expire(SILENT_S - 1, set()) == []
     assert registry.expire(SILENT_S + 1, {"b"}) == []
     assert Disconnect("b") in registry.expire(2 * SILENT_S + 2, set())
@@ -97,18 +97,18 @@
 def test_ended_lives_are_remembered_for_the_next_life_of_a_peer() -> None:
     registry = Registry("me", "one")
     rows: list[EndedLife] = [{"instance": "i-1", "born_ms": 5}]
-    registry.told(0.0, {**member("b", "b:1"), "ended": rows})
-    assert registry.remembered("b") is None
-    registry.told(1.0, member("b", "b:1", life="l2"))
-    assert registry.remembered("b") == rows
-    assert registry.remembered("nobody") is None
+    registry.update_member(0.0, {**member("b", "b:1"), "ended": rows})
+    assert registry.ended_incarnations("b") is None
+    registry.update_member(1.0, member("b", "b:1", life="l2"))
+    assert registry.ended_incarnations("b") == rows
+    assert registry.ended_incarnations("nobody") is None
 
 
 def test_only_upstreams_that_stand_are_tracked_the_own_one_too() -> None:
     registry = Registry("me", "one")
-    registry.told(0.0, member("b", "b:1"))
-    registry.told(0.0, member("c", "c:1", announced("i-2", "shop", "gone")))
-    registry.stored(0.0, [Registration("d", "l", "d:1", "two")])
+    registry.update_member(0.0, member("b", "b:1"))
+    registry.update_member(0.0, member("c", "c:1", announced("i-2", "shop", "gone")))
+    registry.add_records(0.0, [Registration("d", "l", "d:1", "two")])
     names = [each.name for each in registry.tracked(0.0, announced("i-me"))["shop"]]
     assert sorted(names) == ["b", "me"]
 
@@ -118,27 +118,27 @@
     for number in range(100):
         told = member(f"p{number}", f"p{number}:1")
         told["data_centre"] = "one" if number % 2 else "two"
-        registry.told(0.0, told)
+        registry.update_member(0.0, told)
     tracked = registry.tracked(0.0, None)["shop"]
-    assert len(tracked) == NEAR + FAR
-    assert 0 < sum(each.data_centre == "two" for each in tracked) < (NEAR + FAR) / 2
+    assert len(tracked) == MAX_LOCAL + MIN_REMOTE
+    assert 0 < sum(each.data_centre == "two" for each in tracked) < (MAX_LOCAL + MIN_REMOTE) / 2
 
 
 def test_a_record_of_a_lost_daemon_does_not_take_the_address_of_one_that_has_told_of_itself() -> (
     None
 ):
     registry = Registry("me", "one")
-    registry.told(0.0, member("c", "b:1"))
-    assert registry.stored(1.0, [Registration("b", "l1", "b:1", "one")]) == []
+    registry.update_member(0.0, member("c", "b:1"))
+    assert registry.add_records(1.0, [Registration("b", "l1", "b:1", "one")]) == []
     assert list(registry.peers) == ["c"]
 
 
 def test_of_two_records_with_one_address_the_one_that_answers_stays() -> None:
     registry = Registry("me", "one")
     records = [Registration("c", "l1", "b:1", "one"), Registration("lost", "l1", "b:1", "one")]
-    registry.stored(0.0, records)
-    registry.told(0.1, member("c", "b:1"))
-    assert registry.stored(0.2, records) == []
+    registry.add_records(0.0, records)
+    registry.update_member(0.1, member("c", "b:1"))
+    assert registry.add_records(0.2, records) == []
     assert list(registry.peers) == ["c"]
 
 
@@ -149,10 +149,10 @@
     until its upstream changed again.
     """
     registry = Registry("me", "one")
-    registry.told(0.0, member("b", "b:1", announced(), telling=2))
+    registry.update_member(0.0, member("b", "b:1", announced(), telling=2))
     late = member("b", "b:1", announced(instance="", state="gone"), telling=1)
     late["ended"] = [{"instance": "i-0", "born_ms": 0}]
-    assert registry.told(0.1, late) == []
+    assert registry.update_member(0.1, late) == []
     peer = registry.peers["b"]
     assert peer.upstream == announced()
     assert UpstreamIncarnation("i-0") in peer.ended
--- a/tests/unit/membership/test_startup_barrier.py
+++ b/tests/unit/membership/test_startup_barrier.py
@@ -49,7 +49,7 @@
 
 def test_peers_that_cannot_be_reached_are_not_waited_for_but_the_store_is() -> None:
     barrier = StartupBarrier(first=False)
-    barrier.waited()
+    barrier.wait_elapsed()
     assert not barrier.done
     barrier.store_answered({"gone"})
     assert barrier.done
