--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -67,7 +67,7 @@
         """Choose the upstream that would end one more call first."""
         best, least = "", float("inf")
         for name, track in self.tracks.items():
-            if not track.linked or name in excluded or name in self.world.down:
+            if not track.connected or name in excluded or name in self.world.down:
                 continue
             cost = self._cost(name, now)
             if cost < least:
--- a/foldhoist/daemon/operators.py
+++ b/foldhoist/daemon/operators.py
@@ -119,7 +119,7 @@
                     "service": service,
                     "name": track.name,
                     "data_centre": track.data_centre,
-                    "linked": track.linked,
+                    "linked": track.connected,
                     "state": load["state"] if load is not None else "unknown",
                     "age_s": round(now - track.load_at, 3) if load is not None else -1,
                     "in_flight": track.in_flight,
--- a/foldhoist/daemon/sampler.py
+++ b/foldhoist/daemon/sampler.py
@@ -140,7 +140,7 @@
     def called(self) -> None:
         """Take in that a call came for the upstream."""
         now = self._loop.time()
-        self._plan.called(now)
+        self._plan.record_call(now)
         if not self._wanted.is_set() and self._plan.next_at(now) is not None:
             self._wanted.set()
 
@@ -151,7 +151,7 @@
 
     def heard(self, pace: int) -> None:
         """Take in the pace that came with an answer."""
-        self._plan.heard(self._loop.time(), pace)
+        self._plan.record_pace(self._loop.time(), pace)
 
     @property
     def watching(self) -> bool:
@@ -181,7 +181,7 @@
         except (OSError, TimeoutError) as exc:
             self.count.failed += 1
             self._drop()
-            self._plan.failed(self._loop.time())
+            self._plan.record_failure(self._loop.time())
             if not self._failing:
                 logger.info("pace of the upstream cannot be sampled: {!r}", exc)
             self._failing = True
@@ -189,12 +189,12 @@
         if sample.pace or sample.cold_s is not None:
             self._on_sample(sample)
         if not sample.pace:
-            self._plan.failed(self._loop.time())
+            self._plan.record_failure(self._loop.time())
             return
         if self._failing:
             logger.info("pace of the upstream is sampled again")
         self._failing = False
-        self._plan.heard(self._loop.time(), sample.pace)
+        self._plan.record_pace(self._loop.time(), sample.pace)
 
     async def _ask(self) -> Sample:
         if self._conn is None or not self._conn.usable:
--- a/foldhoist/delivery/call.py
+++ b/foldhoist/delivery/call.py
@@ -16,7 +16,7 @@
     from foldhoist.customers.directory import Customer
     from foldhoist.routing.picker import Choice
     from foldhoist.routing.policies import Scored
-    from foldhoist.routing.routes import Routed
+    from foldhoist.routing.routes import RouteMatch
     from foldhoist.schema.messages import CreditAsk, Dispatch, FateAsk, Withdraw
 
 
@@ -208,7 +208,7 @@
         self,
         call_id: int,
         req: CallerRequest,
-        routed: Routed,
+        routed: RouteMatch,
         now: float,
         deadline: float,
         customer: Customer | None = None,
--- a/foldhoist/delivery/door.py
+++ b/foldhoist/delivery/door.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from foldhoist.delivery.call import Call, CallerRequest
-    from foldhoist.routing.routes import Routed, RouteTable
+    from foldhoist.routing.routes import RouteMatch, RouteTable
 
 HOPS = 32
 """Deepest nesting of calls until a configuration says it."""
@@ -38,7 +38,7 @@
         self._stop_by = by
 
     def refusal(
-        self, req: CallerRequest, routes: RouteTable | None, routed: Routed | None, calls: int
+        self, req: CallerRequest, routes: RouteTable | None, routed: RouteMatch | None, calls: int
     ) -> NotRun | None:
         """Return why a request gets no attempt, or None; `calls` have no final answer yet."""
         if routes is None:
--- a/foldhoist/delivery/entrance.py
+++ b/foldhoist/delivery/entrance.py
@@ -9,7 +9,7 @@
 from foldhoist.delivery.call import Call
 from foldhoist.delivery.verdict import NotRun
 from foldhoist.quarantine.table import HELD
-from foldhoist.routing.routes import NO_RANK, Routed, RouteTable
+from foldhoist.routing.routes import NO_RANK, RouteMatch, RouteTable
 
 if TYPE_CHECKING:
     from foldhoist.customers.directory import Customer
@@ -71,7 +71,7 @@
     # Steps
 
     def _enter(
-        self, now: float, call_id: int, req: CallerRequest, routed: Routed, who: Identified
+        self, now: float, call_id: int, req: CallerRequest, routed: RouteMatch, who: Identified
     ) -> Entry:
         state = self._services.get(routed.service)
         if state is None:
@@ -86,7 +86,7 @@
             return _turned_away(now, call_id, req, routed, NotRun(HELD, held_s))
         return Entered(call)
 
-    def _route(self, req: CallerRequest) -> Routed | None:
+    def _route(self, req: CallerRequest) -> RouteMatch | None:
         """Return the call's route with the service drawn for it, or None if there is none."""
         if self._routes is None:
             return None
@@ -106,7 +106,7 @@
         return req._replace(headers=[*req.headers, *req.withheld], withheld=())
 
 
-def _ranked(routed: Routed, customer: Customer | None) -> Routed:
+def _ranked(routed: RouteMatch, customer: Customer | None) -> RouteMatch:
     """Return the route with the customer's rank, which goes first; the route's decides within."""
     if customer is None or customer.rank == NO_RANK:
         return routed
@@ -115,7 +115,7 @@
 
 
 def _turned_away(
-    now: float, call_id: int, req: CallerRequest, routed: Routed | None, verdict: NotRun
+    now: float, call_id: int, req: CallerRequest, routed: RouteMatch | None, verdict: NotRun
 ) -> TurnedAway:
-    routed = routed or Routed("", repeatable=False, urgent=False)
+    routed = routed or RouteMatch("", repeatable=False, urgent=False)
     return TurnedAway(Call(call_id, req._replace(withheld=()), routed, now, now), verdict)
--- a/foldhoist/delivery/rules.py
+++ b/foldhoist/delivery/rules.py
@@ -17,7 +17,7 @@
     from foldhoist.delivery.services import ServiceState
     from foldhoist.delivery.verdict import NotRun, Verdict
     from foldhoist.routing.picker import Picker
-    from foldhoist.routing.routes import Routed
+    from foldhoist.routing.routes import RouteMatch
     from foldhoist.schema.messages import Answer, Refusal
 
 MOST_REFUSALS = 3
@@ -35,7 +35,7 @@
 """Longest wait of a call for a first connection to an owner, seconds."""
 
 
-def budget_s(req: CallerRequest, routed: Routed, state: ServiceState) -> float:
+def budget_s(req: CallerRequest, routed: RouteMatch, state: ServiceState) -> float:
     """Return how long a call may take, seconds: its caller's word, within that of its route."""
     limit = routed.timeout_s or state.cfg["deadline_ms"] / 1000
     return min(req.budget_s, limit) if req.budget_s > 0 else limit
--- a/foldhoist/delivery/services.py
+++ b/foldhoist/delivery/services.py
@@ -16,7 +16,7 @@
     from random import Random
 
     from foldhoist.routing.picker import Member
-    from foldhoist.routing.routes import Routed
+    from foldhoist.routing.routes import RouteMatch
     from foldhoist.schema.fleet import Fleet, Service
 
 HELD_SHARE = 0.4
@@ -116,7 +116,7 @@
         for state in self._by_name.values():
             state.picker.linked(target, now, up, fresh)
 
-    def draw(self, routed: Routed) -> str:
+    def draw(self, routed: RouteMatch) -> str:
         """Return the service that takes the next call of a split route."""
         split = self._splits.get(routed.route)
         if split is None or split.parts != routed.parts:
--- a/foldhoist/routing/policies.py
+++ b/foldhoist/routing/policies.py
@@ -17,15 +17,15 @@
 
 REMOTE_COST_S = 0.001
 """What a call to another data centre costs beside its service time, seconds."""
-MINOR_ERRORS = 0.05
+TOLERATED_ERRORS = 0.05
 """A share of errors up to this costs an upstream nothing."""
 ERROR_COST = 10.0
 """What a share of errors costs, in service times."""
-MOST_SHOWN = 4
+MAX_RECORDED = 4
 """Candidates that a decision record keeps."""
-ALIKE = 2.0
+SIMILAR_FACTOR = 2.0
 """Service times within this factor of the fastest count as alike; docs/design/choosing.md."""
-TIE = 0.05
+TIE_TOLERANCE = 0.05
 """Scores closer than this share of the best one count as equal and are drawn by lot."""
 
 
@@ -104,7 +104,7 @@
 
 def choose(
     policy: Policy,
-    among: Sequence[UpstreamStats],
+    candidates: Sequence[UpstreamStats],
     now: float,
     rng: Random,
     remote_s: float = REMOTE_COST_S,
@@ -116,30 +116,30 @@
     """
     if isinstance(policy, Mixed):
         scores = expected_s(
-            among, policy.data_centre, now, policy.trust.weight, policy.paces, remote_s, cold_s
+            candidates, policy.data_centre, now, policy.trust.weight, policy.paces, remote_s, cold_s
         )
-        return _least(among, scores, rng), scores
-    return _choose_plainly(policy, among, now, rng), None
+        return _lowest(candidates, scores, rng), scores
+    return _choose_by_simple_policy(policy, candidates, now, rng), None
 
 
-def _choose_plainly(
-    policy: Policy, among: Sequence[UpstreamStats], now: float, rng: Random
+def _choose_by_simple_policy(
+    policy: Policy, candidates: Sequence[UpstreamStats], now: float, rng: Random
 ) -> UpstreamStats:
     match policy:
         case RoundRobin():
             policy.turn += 1
-            return among[policy.turn % len(among)]
+            return candidates[policy.turn % len(candidates)]
         case LeastInFlight():
-            return _least(among, [float(track.in_flight) for track in among], rng)
+            return _lowest(candidates, [float(stats.in_flight) for stats in candidates], rng)
         case TwoChoices():
-            return _less_occupied_of_two(among, now, rng)
+            return _less_occupied_of_two(candidates, now, rng)
         case HotCold():
-            return _hot_cold(policy, among, now, rng)
-    return among[int(rng.random() * len(among))]
+            return _hot_cold(policy, candidates, now, rng)
+    return candidates[int(rng.random() * len(candidates))]
 
 
 def expected_s(
-    among: Sequence[UpstreamStats],
+    candidates: Sequence[UpstreamStats],
     data_centre: str,
     now: float,
     trust: float = 1.0,
@@ -156,82 +156,88 @@
     what is left of the difference is chance, and calls would flock to the luckiest.
     """
     times: list[float] = []
-    for track in among:
-        if track.in_flight or now - track.last_at > STALE_S:
-            times.append(track.service_s(now))
+    for stats in candidates:
+        if stats.in_flight or now - stats.last_result_at > STALE_S:
+            times.append(stats.service_s(now))
         else:
-            times.append(track.latency_s if track.results else UNKNOWN_SERVICE_S)
-    usual = min(times)
+            times.append(stats.latency_s if stats.results else UNKNOWN_SERVICE_S)
+    fastest = min(times)
     costs: list[float] = []
-    for track, service in zip(among, times, strict=True):
-        cost = usual if service <= usual * ALIKE else service
-        if track.in_flight or track.others:
-            cost *= _crowding(track, now, trust)
-        if track.errors > MINOR_ERRORS:
-            cost *= 1.0 + ERROR_COST * track.errors_now(now)
-        if paces is not None and track.pace:
-            cost *= paces.factor(track.pace, now - track.load_at - track.pace_kept_s)
-        if track.data_centre != data_centre:
+    for stats, service in zip(candidates, times, strict=True):
+        cost = fastest if service <= fastest * SIMILAR_FACTOR else service
+        if stats.in_flight or stats.other_calls:
+            cost *= _occupancy_factor(stats, now, trust)
+        if stats.errors > TOLERATED_ERRORS:
+            cost *= 1.0 + ERROR_COST * stats.decayed_errors(now)
+        if paces is not None and stats.pace:
+            cost *= paces.factor(stats.pace, now - stats.load_at - stats.pace_kept_s)
+        if stats.data_centre != data_centre:
             cost += remote_s
-        if track.load is not None and track.load["state"] == "cold":
+        if stats.load is not None and stats.load["state"] == "cold":
             cost += cold_s
         costs.append(cost)
     return costs
 
 
-def _crowding(track: UpstreamStats, now: float, trust: float) -> float:
-    occupancy = track.occupancy(now, trust)
-    slots = track.slots
+def _occupancy_factor(stats: UpstreamStats, now: float, trust: float) -> float:
+    occupancy = stats.occupancy(now, trust)
+    slots = stats.slots
     factor = 1.0 + occupancy / slots
     if occupancy >= slots:
         factor += (occupancy + 1.0 - slots) / slots
     return factor
 
 
-def shown(
-    among: Sequence[UpstreamStats], chosen: UpstreamStats, scores: Sequence[float], now: float
+def recorded_candidates(
+    candidates: Sequence[UpstreamStats], chosen: UpstreamStats, scores: Sequence[float], now: float
 ) -> tuple[Scored, ...]:
     """Return the inputs of the choice for its record: the chosen one and the next best."""
-    best = sorted(range(len(among)), key=scores.__getitem__)[:MOST_SHOWN]
-    at = among.index(chosen)
+    best = sorted(range(len(candidates)), key=scores.__getitem__)[:MAX_RECORDED]
+    at = candidates.index(chosen)
     if at not in best:
         best[-1] = at
-    return tuple(_scored(among[each], scores[each], now) for each in best)
+    return tuple(_scored(candidates[each], scores[each], now) for each in best)
 
 
-def _scored(track: UpstreamStats, score: float, now: float) -> Scored:
-    load = track.load
+def _scored(stats: UpstreamStats, score: float, now: float) -> Scored:
+    load = stats.load
     return Scored(
-        track.name,
+        stats.name,
         score,
-        track.in_flight,
-        track.occupancy(now),
-        track.latency_s,
-        now - track.load_at if load is not None else -1.0,
+        stats.in_flight,
+        stats.occupancy(now),
+        stats.latency_s,
+        now - stats.load_at if load is not None else -1.0,
         load["state"] if load is not None else "unknown",
     )
 
 
-def _least(among: Sequence[UpstreamStats], scores: list[float], rng: Random) -> UpstreamStats:
-    limit = min(scores) * (1.0 + TIE)
-    best = [track for track, score in zip(among, scores, strict=True) if score <= limit]
+def _lowest(candidates: Sequence[UpstreamStats], scores: list[float], rng: Random) -> UpstreamStats:
+    limit = min(scores) * (1.0 + TIE_TOLERANCE)
+    best = [stats for stats, score in zip(candidates, scores, strict=True) if score <= limit]
     if len(best) == 1:
         return best[0]
     return best[int(rng.random() * len(best))]
 
 
-def _less_occupied_of_two(among: Sequence[UpstreamStats], now: float, rng: Random) -> UpstreamStats:
-    first = among[int(rng.random() * len(among))]
-    second = among[int(rng.random() * len(among))]
+def _less_occupied_of_two(
+    candidates: Sequence[UpstreamStats], now: float, rng: Random
+) -> UpstreamStats:
+    first = candidates[int(rng.random() * len(candidates))]
+    second = candidates[int(rng.random() * len(candidates))]
     return second if second.occupancy(now) < first.occupancy(now) else first
 
 
 def _hot_cold(
-    policy: HotCold, among: Sequence[UpstreamStats], now: float, rng: Random
+    policy: HotCold, candidates: Sequence[UpstreamStats], now: float, rng: Random
 ) -> UpstreamStats:
-    levels = [track.occupancy(now) for track in among]
-    limit = sorted(levels)[int(policy.quantile * (len(levels) - 1))]
-    cold = [track for track, level in zip(among, levels, strict=True) if level <= limit]
-    if len(cold) == len(among) and limit >= min(track.slots for track in among):
-        return _least(among, levels, rng)
-    return _least(cold, [track.service_s(now) for track in cold], rng)
+    occupancies = [stats.occupancy(now) for stats in candidates]
+    limit = sorted(occupancies)[int(policy.quantile * (len(occupancies) - 1))]
+    cold = [
+        stats
+        for stats, occupancy in zip(candidates, occupancies, strict=True)
+        if occupancy <= limit
+    ]
+    if len(cold) == len(candidates) and limit >= min(stats.slots for stats in candidates):
+        return _lowest(candidates, occupancies, rng)
+    return _lowest(cold, [stats.service_s(now) for stats in cold], rng)
--- a/foldhoist/routing/routes.py
+++ b/foldhoist/routing/routes.py
@@ -13,14 +13,14 @@
 """Host of a route that takes the calls of every host."""
 
 
-class Part(NamedTuple):
+class WeightedService(NamedTuple):
     """A service that takes a share of a route's calls."""
 
     service: str
     weight: float
 
 
-class Routed(NamedTuple):
+class RouteMatch(NamedTuple):
     """A call's service and the kind of call it is; times are seconds, 0 where none is given.
 
     `open` says that it needs no API key, `bulk` that its answers are large.
@@ -30,7 +30,7 @@
     repeatable: bool
     urgent: bool
     route: str = ""
-    parts: tuple[Part, ...] = ()
+    parts: tuple[WeightedService, ...] = ()
     timeout_s: float = 0.0
     attempts: int = 0
     rank: int = NO_RANK
@@ -42,7 +42,7 @@
 class _Rule(NamedTuple):
     prefix: str
     methods: frozenset[str]
-    routed: Routed
+    match: RouteMatch
 
 
 class RouteTable:
@@ -60,28 +60,28 @@
             reverse=True,
         )
 
-    def find(self, method: str, path: str, host: str = ANY_HOST) -> Routed | None:
+    def find(self, method: str, path: str, host: str = ANY_HOST) -> RouteMatch | None:
         """Return the service and kind of a call, or None if no prefix matches."""
         for name in (host, ANY_HOST) if host else (ANY_HOST,):
             for rule in self._by_host.get(name, ()):
                 if path.startswith(rule.prefix) and (not rule.methods or method in rule.methods):
-                    return rule.routed
+                    return rule.match
         for prefix, service in self._services:
             if path.startswith(prefix):
-                return Routed(service, repeatable=False, urgent=False)
+                return RouteMatch(service, repeatable=False, urgent=False)
         return None
 
 
-def parse_split(text: str) -> tuple[Part, ...]:
+def parse_split(text: str) -> tuple[WeightedService, ...]:
     """Return the parts of a `split` option; raises ValueError if it is none."""
-    parts: list[Part] = []
+    parts: list[WeightedService] = []
     for entry in text.split(","):
         if not entry.strip():
             continue
         service, _, weight = entry.partition(":")
         if not service.strip() or not _is_weight(weight):
             raise ValueError(f"{entry.strip()} is no service with a weight")
-        parts.append(Part(service.strip(), float(weight)))
+        parts.append(WeightedService(service.strip(), float(weight)))
     return tuple(parts)
 
 
@@ -98,16 +98,16 @@
         methods = frozenset(
             part.strip().upper() for part in route["methods"].split(",") if part.strip()
         )
-        rule = _Rule(route["prefix"], methods, _routed(name, route))
+        rule = _Rule(route["prefix"], methods, _route_match(name, route))
         by_host.setdefault(route["host"].lower(), []).append(rule)
     for rules in by_host.values():
         rules.sort(key=lambda rule: len(rule.prefix), reverse=True)
     return by_host
 
 
-def _routed(name: str, route: Route) -> Routed:
+def _route_match(name: str, route: Route) -> RouteMatch:
     parts = parse_split(route["split"])
-    return Routed(
+    return RouteMatch(
         route["service"],
         route["repeatable"],
         route["urgent"],
--- a/foldhoist/routing/split.py
+++ b/foldhoist/routing/split.py
@@ -7,9 +7,9 @@
 if TYPE_CHECKING:
     from random import Random
 
-    from foldhoist.routing.routes import Part
+    from foldhoist.routing.routes import WeightedService
 
-STEP = 0.6180339887498949
+GOLDEN_RATIO = 0.6180339887498949
 """Fraction of the whole between two draws: the golden ratio spreads them evenly."""
 
 
@@ -19,19 +19,19 @@
     Daemons begin at points drawn by lot, so that many of them together come close, too.
     """
 
-    def __init__(self, parts: tuple[Part, ...], rng: Random) -> None:
+    def __init__(self, parts: tuple[WeightedService, ...], rng: Random) -> None:
         self.parts = parts
-        self._at = rng.random()
+        self._position = rng.random()
 
     def draw(self) -> str:
         """Return the service of the next call, whether it has room or not.
 
         What does not fit into a part is refused: the users' shares hold under load, too.
         """
-        self._at = (self._at + STEP) % 1.0
-        left = self._at * sum(part.weight for part in self.parts)
+        self._position = (self._position + GOLDEN_RATIO) % 1.0
+        remaining = self._position * sum(part.weight for part in self.parts)
         for part in self.parts:
-            left -= part.weight
-            if left < 0:
+            remaining -= part.weight
+            if remaining < 0:
                 return part.service
         return self.parts[-1].service
--- a/foldhoist/routing/trust.py
+++ b/foldhoist/routing/trust.py
@@ -13,20 +13,20 @@
     then counts for nothing, and only the own calls in flight tell upstreams apart.
     """
 
-    __slots__ = ("_by_mean", "_by_report", "_mean", "weight")
+    __slots__ = ("_mean", "_mean_error", "_report_error", "weight")
 
     def __init__(self) -> None:
         self.weight = 0.5
         self._mean = 0.0
-        self._by_report = 0.0
-        self._by_mean = 0.0
+        self._report_error = 0.0
+        self._mean_error = 0.0
 
-    def learned(self, own: int, others: float, ahead: int) -> None:
+    def update(self, own: int, others: float, ahead: int) -> None:
         """Take in an answer: what was believed when its call was sent, and what it met."""
         met = max(0, ahead - own)
-        self._by_report += SMOOTHING * (abs(others - met) - self._by_report)
-        self._by_mean += SMOOTHING * (abs(self._mean - met) - self._by_mean)
+        self._report_error += SMOOTHING * (abs(others - met) - self._report_error)
+        self._mean_error += SMOOTHING * (abs(self._mean - met) - self._mean_error)
         self._mean += SMOOTHING * (met - self._mean)
-        if self._by_mean <= 0.0:
+        if self._mean_error <= 0.0:
             return
-        self.weight = min(1.0, max(0.0, 2.0 * (1.0 - self._by_report / self._by_mean)))
+        self.weight = min(1.0, max(0.0, 2.0 * (1.0 - self._report_error / self._mean_error)))
--- a/foldhoist/routing/upstream_stats.py
+++ b/foldhoist/routing/upstream_stats.py
@@ -14,7 +14,7 @@
 """Weight of the newest answer in the running means."""
 STALE_S = 1.0
 """What was measured keeps its full weight for this long without a new result, seconds."""
-FORGET_HALF_LIFE_S = 2.0
+RESULT_HALF_LIFE_S = 2.0
 """After that, slowness and errors count half each time this long passes, seconds."""
 REPORT_HALF_LIFE_S = 0.05
 """A reported load counts half after this long, seconds; measured in docs/design/choosing.md."""
@@ -25,34 +25,34 @@
     """When a call was sent, and what was believed of its upstream then."""
 
     at: float
-    own: int
-    others: float
+    own_calls: int
+    other_calls: float
 
 
 class UpstreamStats:
     """One upstream as this daemon sees it; times are seconds, monotonic."""
 
     __slots__ = (
+        "accepts_calls",
         "backoff_until",
+        "connected",
         "data_centre",
         "ejected_until",
         "ejections",
         "errors",
         "in_flight",
-        "last_at",
+        "last_result_at",
         "latency_s",
-        "linked",
         "load",
         "load_at",
         "name",
-        "others",
+        "other_calls",
         "pace",
         "pace_kept_s",
+        "ramp_start",
         "results",
-        "sent_at",
-        "since",
+        "sent_calls",
         "slots",
-        "standing",
         "trial_left",
     )
 
@@ -60,18 +60,18 @@
         self.name = name
         self.data_centre = data_centre
         self.slots = slots
-        self.since = now
-        self.linked = False
-        self.standing = True
+        self.ramp_start = now
+        self.connected = False
+        self.accepts_calls = True
         self.in_flight = 0
-        self.sent_at: dict[int, SentCall] = {}
+        self.sent_calls: dict[int, SentCall] = {}
         self.latency_s = 0.0
         self.errors = 0.0
-        self.last_at = now
+        self.last_result_at = now
         self.results = 0
         self.load: Load | None = None
         self.load_at = 0.0
-        self.others = 0
+        self.other_calls = 0
         self.pace = 0
         self.pace_kept_s = 0.0
         self.backoff_until = 0.0
@@ -81,68 +81,68 @@
 
     def sent(self, seq: int, now: float) -> None:
         """Count a call that was just sent, with what was expected of it."""
-        self.sent_at[seq] = SentCall(now, self.in_flight, self.faded_others(now))
+        self.sent_calls[seq] = SentCall(now, self.in_flight, self.decayed_other_calls(now))
         self.in_flight += 1
 
     def ended(self, seq: int) -> SentCall | None:
         """Count the end of a call; return what was noted of it, or None if it was not counted."""
-        sent = self.sent_at.pop(seq, None)
+        sent = self.sent_calls.pop(seq, None)
         if sent is not None:
             self.in_flight -= 1
         return sent
 
-    def learned(self, load: Load, now: float) -> None:
+    def update_load(self, load: Load, now: float) -> None:
         """Take over the load that the owner attached to a message."""
         self.load = load
         self.load_at = now
         self.pace = load.get("pace", 0)
         self.pace_kept_s = load.get("pace_kept_ms", 0) / 1000
         self.slots = load["slots"] or self.slots
-        self.others = max(0, load["busy"] + load["queued"] - self.in_flight)
+        self.other_calls = max(0, load["busy"] + load["queued"] - self.in_flight)
 
-    def measured(self, now: float, latency_s: float, failed: bool) -> None:
+    def record_result(self, now: float, latency_s: float, failed: bool) -> None:
         """Add one result to the running means; `latency_s` is the time of the whole attempt."""
-        self.errors = self.errors_now(now)
-        self.last_at = now
+        self.errors = self.decayed_errors(now)
+        self.last_result_at = now
         self.results += 1
         weight = max(SMOOTHING, 1.0 / self.results)
         self.latency_s += weight * (latency_s - self.latency_s)
         self.errors += weight * ((1.0 if failed else 0.0) - self.errors)
 
-    def fade(self, now: float) -> float:
+    def decay(self, now: float) -> float:
         """Return the weight of what was measured, 1 while it is fresh."""
-        silence = now - self.last_at - STALE_S
+        silence = now - self.last_result_at - STALE_S
         if silence <= 0:
             return 1.0
-        return exp(-LN_2 * silence / FORGET_HALF_LIFE_S)
+        return exp(-LN_2 * silence / RESULT_HALF_LIFE_S)
 
-    def errors_now(self, now: float) -> float:
+    def decayed_errors(self, now: float) -> float:
         """Return the share of errors, which fades while nothing is heard."""
-        return self.errors * self.fade(now)
+        return self.errors * self.decay(now)
 
     def oldest_age(self, now: float) -> float:
         """Return how long the oldest call in flight has been without a result, seconds."""
-        for sent in self.sent_at.values():
+        for sent in self.sent_calls.values():
             return now - sent.at
         return 0.0
 
     def service_s(self, now: float) -> float:
         """Return the expected time of a call, never below the age of the oldest one in flight."""
         known = self.latency_s if self.results else UNKNOWN_SERVICE_S
-        if now - self.last_at > STALE_S:
-            known = max(min(known, UNKNOWN_SERVICE_S), known * self.fade(now))
+        if now - self.last_result_at > STALE_S:
+            known = max(min(known, UNKNOWN_SERVICE_S), known * self.decay(now))
         if not self.in_flight:
             return known
         return max(known, self.oldest_age(now))
 
-    def faded_others(self, now: float) -> float:
+    def decayed_other_calls(self, now: float) -> float:
         """Return the calls of others that the last report told of, less as it gets older."""
-        if not self.others:
+        if not self.other_calls:
             return 0.0
-        return self.others * exp(-LN_2 * (now - self.load_at) / REPORT_HALF_LIFE_S)
+        return self.other_calls * exp(-LN_2 * (now - self.load_at) / REPORT_HALF_LIFE_S)
 
     def occupancy(self, now: float, trust: float = 1.0) -> float:
         """Return the calls expected there now: our own, and others as far as trusted."""
-        if not self.others:
+        if not self.other_calls:
             return float(self.in_flight)
-        return self.in_flight + trust * self.faded_others(now)
+        return self.in_flight + trust * self.decayed_other_calls(now)
--- a/tests/adapter/test_arrivals.py
+++ b/tests/adapter/test_arrivals.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from foldhoist.admission.retries import RetryBudget
-from foldhoist.routing.picker import REFUSED_LONGEST_S
+from foldhoist.routing.picker import MAX_REFUSAL_PAUSE_S
 from tests.adapter.cluster import Cluster, played, route
 
 REQUESTS = 60
@@ -24,7 +24,7 @@
     for target in cluster.targets.values():
         target.full = True
     for number in range(REQUESTS):
-        await asyncio.sleep(REFUSED_LONGEST_S)
+        await asyncio.sleep(MAX_REFUSAL_PAUSE_S)
         answer = await cluster.ask(names[number % len(names)])
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0
--- a/tests/adapter/test_path.py
+++ b/tests/adapter/test_path.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from foldhoist.routing.picker import REFUSED_LONGEST_S
+from foldhoist.routing.picker import MAX_REFUSAL_PAUSE_S
 from tests.adapter.cluster import (
     DEADLINE_S,
     Cluster,
@@ -168,7 +168,7 @@
     cluster.targets["a"].instance = "i-new"
     for _ in range(6):
         assert (await cluster.ask("a", attempt="0c")).status == 200
-        await asyncio.sleep(1.2 * REFUSED_LONGEST_S)
+        await asyncio.sleep(1.2 * MAX_REFUSAL_PAUSE_S)
     assert cluster.targets["a"].ran == []
     assert cluster.targets["a"].turned_away <= 1
 
--- a/tests/unit/delivery/test_ingress.py
+++ b/tests/unit/delivery/test_ingress.py
@@ -168,7 +168,7 @@
     ):
         ingress = make(linked=False, objective_ms=objective_ms)
         for _ in range(10 if usual_s else 0):
-            ingress.pickers()["depo"].times.learned("depo", usual_s)
+            ingress.pickers()["depo"].times.update("depo", usual_s)
         ingress.arrive(1.0, 1, request(budget_s=budget_s))
         assert replies(ingress.tick(1.0 + longest_s - 0.002)) == []
         assert replies(ingress.tick(1.0 + longest_s + 0.001)) != []
--- a/tests/unit/routing/test_routes.py
+++ b/tests/unit/routing/test_routes.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from foldhoist.routing.routes import Part, RouteTable, parse_split
+from foldhoist.routing.routes import RouteTable, WeightedService, parse_split
 from foldhoist.routing.split import Split
 
 
@@ -62,7 +62,7 @@
 @settings(max_examples=100, derandomize=True)
 @given(st.lists(st.integers(1, 99), min_size=2, max_size=4), st.integers(0, 1000))
 def test_even_a_hundred_calls_come_close_to_the_weights(weights: list[int], seed: int) -> None:
-    parts = tuple(Part(f"s{number}", weight) for number, weight in enumerate(weights))
+    parts = tuple(WeightedService(f"s{number}", weight) for number, weight in enumerate(weights))
     split = Split(parts, random.Random(seed))
     drawn = Counter(split.draw() for _ in range(100))
     for part in parts:
@@ -70,7 +70,10 @@
 
 
 def test_a_part_without_weight_gets_nothing_and_the_others_keep_their_shares() -> None:
-    split = Split((Part("a", 0), Part("b", 75), Part("c", 25)), random.Random(1))
+    split = Split(
+        (WeightedService("a", 0), WeightedService("b", 75), WeightedService("c", 25)),
+        random.Random(1),
+    )
     drawn = Counter(split.draw() for _ in range(400))
     assert drawn["a"] == 0
     assert abs(drawn["b"] - 300) <= 4
--- a/tests/unit/routing/test_sampling.py
+++ b/tests/unit/routing/test_sampling.py
@@ -5,10 +5,10 @@
 import pytest
 
 from foldhoist.routing.sampling import (
-    BACKOFF_LONGEST_S,
-    BACKOFF_S,
-    LEAST_S,
-    LONGEST_S,
+    FIRST_BACKOFF_S,
+    MAX_BACKOFF_S,
+    MAX_INTERVAL_S,
+    MIN_INTERVAL_S,
     SamplePlan,
     is_change,
 )
@@ -21,9 +21,9 @@
     made = SamplePlan(cost)
     step = 1.0 / calls_per_s
     for number in range(int(until * calls_per_s)):
-        made.called(number * step)
-        made.heard(number * step, 500 if flips and number % 3 == 0 else 100)
-    made.heard(until, 100)
+        made.record_call(number * step)
+        made.record_pace(number * step, 500 if flips and number % 3 == 0 else 100)
+    made.record_pace(until, 100)
     return made
 
 
@@ -35,8 +35,8 @@
 def test_an_upstream_that_tells_no_pace_is_not_asked() -> None:
     made = SamplePlan(0.02)
     for number in range(100):
-        made.called(number / 50)
-        made.heard(number / 50, 0)
+        made.record_call(number / 50)
+        made.record_pace(number / 50, 0)
     assert made.next_at(2.0) is None
 
 
@@ -65,23 +65,23 @@
 def test_an_answer_that_tells_the_pace_is_as_good_as_a_sample() -> None:
     made = plan(20.0)
     before = made.next_at(10.0)
-    made.heard(10.01, 100)
+    made.record_pace(10.01, 100)
     after = made.next_at(10.01)
     assert before is not None
     assert after is not None
     assert after > before
-    assert LEAST_S <= after - 10.01 < LONGEST_S
+    assert MIN_INTERVAL_S <= after - 10.01 < MAX_INTERVAL_S
 
 
 def test_failed_samples_are_taken_more_and_more_rarely() -> None:
     made = plan(20.0)
     pauses = []
     for _ in range(12):
-        made.failed(10.0)
+        made.record_failure(10.0)
         pauses.append(interval(made) or 0.0)
-    assert pauses[0] == pytest.approx(BACKOFF_S)
+    assert pauses[0] == pytest.approx(FIRST_BACKOFF_S)
     assert pauses == sorted(pauses)
-    assert pauses[-1] == pytest.approx(BACKOFF_LONGEST_S)
+    assert pauses[-1] == pytest.approx(MAX_BACKOFF_S)
 
 
 def test_a_pace_is_another_one_from_half_as_much_again() -> None:
--- a/tests/unit/routing/test_times.py
+++ b/tests/unit/routing/test_times.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from foldhoist.routing.times import PACE_S, RESULTS, PaceEstimates, RouteTimes
+from foldhoist.routing.times import MIN_RESULTS, PACE_DECAY_S, PaceEstimates, RouteTimes
 
 
 def test_routes_are_brought_to_one_scale() -> None:
     times = RouteTimes()
     for _ in range(200):
-        times.learned("short", 0.03, 100)
-        times.learned("long", 0.15, 5000)
+        times.update("short", 0.03, 100)
+        times.update("long", 0.15, 5000)
     assert 0.03 * times.scale("short") == pytest.approx(0.15 * times.scale("long"), rel=0.01)
     assert times.mean("short") == pytest.approx(0.03)
     assert times.size("long") == pytest.approx(5000)
@@ -19,8 +19,8 @@
 
 def test_a_route_of_which_little_is_known_counts_as_the_service() -> None:
     times = RouteTimes()
-    for _ in range(RESULTS - 1):
-        times.learned("new", 1.0)
+    for _ in range(MIN_RESULTS - 1):
+        times.update("new", 1.0)
     assert times.scale("new") == 1.0
     assert times.scale("never") == 1.0
 
@@ -28,8 +28,8 @@
 def test_a_pace_counts_less_as_it_gets_older() -> None:
     paces = PaceEstimates()
     for pace in (100, 100, 100, 400) * 50:
-        paces.learned(pace)
-    fresh, old = paces.factor(400, 0.0), paces.factor(400, 10 * PACE_S)
+        paces.update(pace)
+    fresh, old = paces.factor(400, 0.0), paces.factor(400, 10 * PACE_DECAY_S)
     assert fresh > 2
     assert old == pytest.approx(1.0, abs=0.01)
     assert paces.factor(100, 0.0) < 1
--- a/tests/unit/routing/test_trust.py
+++ b/tests/unit/routing/test_trust.py
@@ -13,7 +13,7 @@
     for _ in range(1000):
         met = rng.randrange(12)
         told = met if report_is_true else rng.randrange(12)
-        trust.learned(2, float(told), 2 + met)
+        trust.update(2, float(told), 2 + met)
     return trust.weight
 
 
@@ -27,5 +27,5 @@
 
 def test_without_other_calls_nothing_is_learned() -> None:
     trust = Trust()
-    trust.learned(3, 0.0, 3)
+    trust.update(3, 0.0, 3)
     assert trust.weight == 0.5
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -38,7 +38,7 @@
     Ablation(
         "pace-in-the-choice",
         "foldhoist/routing/policies.py",
-        "if paces is not None and track.pace:",
+        "if paces is not None and stats.pace:",
         "if False:",
     ),
     Ablation(
@@ -80,13 +80,13 @@
     Ablation(
         "distance",
         "foldhoist/routing/policies.py",
-        "if track.data_centre != data_centre:",
+        "if stats.data_centre != data_centre:",
         "if False:",
     ),
     Ablation(
         "ejection",
         "foldhoist/routing/picker.py",
-        "if track.errors >= EJECT_ERRORS or self._is_slow(track.latency_s, track.name):",
+        "if stats.errors >= EJECT_ERROR_SHARE or self._is_slow(stats.latency_s, stats.name):",
         "if False:",
     ),
     Ablation(
@@ -98,13 +98,13 @@
     Ablation(
         "reports-of-load",
         "foldhoist/routing/upstream_stats.py",
-        "return self.in_flight + trust * self.faded_others(now)",
+        "return self.in_flight + trust * self.decayed_other_calls(now)",
         "return float(self.in_flight)",
     ),
     Ablation(
         "trust-in-reports-learned",
         "foldhoist/routing/trust.py",
-        "self.weight = min(1.0, max(0.0, 2.0 * (1.0 - self._by_report / self._by_mean)))",
+        "self.weight = min(1.0, max(0.0, 2.0 * (1.0 - self._report_error / self._mean_error)))",
         "self.weight = 1.0",
     ),
     Ablation(
