--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -29,7 +29,7 @@
 from foldhoist.daemon.stopping import Stopping
 from foldhoist.daemon.upstream_task import UpstreamTask
 from foldhoist.daemon.versions_task import VersionsTask
-from foldhoist.delivery.codec import HEADROOM, SCHEMA_VERSION
+from foldhoist.delivery.codec import FRAME_OVERHEAD_BYTES, SCHEMA_VERSION
 from foldhoist.delivery.ingress import Ingress
 from foldhoist.delivery.keys import KEY_WINDOW_S
 from foldhoist.delivery.owner import Owner
@@ -240,7 +240,9 @@
             self.ingress_task.link_refused,
             self.messages.outbound,
         )
-        self.links = Links(self._hello, cfg["limits"]["body_bytes"] + HEADROOM, events, self.rng)
+        self.links = Links(
+            self._hello, cfg["limits"]["body_bytes"] + FRAME_OVERHEAD_BYTES, events, self.rng
+        )
         self.ingress_task.on_ended = self._ended
         self.owner_task.on_refused = self._refused
         self.owner_task.on_spread = self.messages.spread
@@ -316,7 +318,7 @@
             rate = ColdRate(own["cold_per_s"], own["cold_ms"] / 1000)
             upstream = self.cfg["upstream"]
             tolerance = Tolerance(upstream["cold_overage"], upstream["cold_slack"])
-            self.owner_task.bound_cold(rate.with_tolerance(tolerance))
+            self.owner_task.set_cold_rate(rate.with_tolerance(tolerance))
 
     def _set_evacuated(self, names: frozenset[str]) -> None:
         centres = {peer.data_centre for peer in self.registry.peers.values()} | {self.data_centre}
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -32,14 +32,14 @@
     Whole,
 )
 from foldhoist.delivery.endings import Endings
-from foldhoist.delivery.holding import Holding
 from foldhoist.delivery.keys import KeyTable
-from foldhoist.delivery.owner_door import OwnerDoor
+from foldhoist.delivery.load_reports import LoadReports, crashes_frame
+from foldhoist.delivery.owner_admission import OwnerAdmission
 from foldhoist.delivery.peers import Peers, drop_acked
-from foldhoist.delivery.standing import EVACUATED, REPLACED, Standing
-from foldhoist.delivery.telling import Telling, crashes_frame
+from foldhoist.delivery.quarantined_calls import QuarantinedCalls
+from foldhoist.delivery.shed_guard import ShedGuard
 from foldhoist.delivery.tickets import Tickets
-from foldhoist.delivery.turning_away import TurningAway
+from foldhoist.delivery.upstream_status import EVACUATED, REPLACED, UpstreamStatus
 from foldhoist.delivery.waiting import Waiting
 from foldhoist.quarantine.table import Quarantine
 
@@ -83,33 +83,35 @@
         self.keys = KeyTable(name, key_window_s)
         self.count = Counters()
         self.quarantine = quarantine if quarantine is not None else Quarantine()
-        self.standing = Standing()
+        self.status = UpstreamStatus()
         self._cold = self.queue.cold if isinstance(self.queue, DueQueue) else ColdStart()
         self._peers = Peers()
-        self._telling = Telling(self.standing, self.queue, self._peers)
+        self._reports = LoadReports(self.status, self.queue, self._peers)
         self.tickets = Tickets(bodies)
-        self._endings = Endings(self.tickets, self.keys, self._peers, self._telling, self.count)
+        self._endings = Endings(self.tickets, self.keys, self._peers, self._reports, self.count)
         self.refusals = self._endings.refusals
         self._claims = Claims(self.keys, self._endings, self.count)
         self._crowding = Crowding()
         self._waiting = Waiting(self.queue, self.tickets, self._endings)
-        self._turning_away = TurningAway(self.standing, self._telling, self._waiting, self.tickets)
-        self._holding = Holding(
-            self.quarantine, self.tickets, self._telling, self._waiting, self.count
+        self._shed_guard = ShedGuard(self.status, self._reports, self._waiting, self.tickets)
+        self._quarantined = QuarantinedCalls(
+            self.quarantine, self.tickets, self._reports, self._waiting, self.count
+        )
+        self._admission = OwnerAdmission(
+            self.status, self.tickets, self._quarantined, self._shed_guard
         )
-        self._door = OwnerDoor(self.standing, self.tickets, self._holding, self._turning_away)
 
     # What the tasks tell it
 
     def hello(self, now: float, link: int, hello: Hello) -> list[Action]:
-        """Take in a new connection; an older one of the same ingress is closed and refused."""
-        greeting = self._peers.greet(link, hello)
-        if not greeting.taken:
+        """Take in a new connection; an older one of the same ingress is closed."""
+        handshake = self._peers.connected(link, hello)
+        if not handshake.accepted:
             self.count.fenced += 1
             return [CloseLink(link)]
         actions: list[Action] = []
-        if greeting.ended_link is not None:
-            actions.append(CloseLink(greeting.ended_link))
+        if handshake.replaced_link is not None:
+            actions.append(CloseLink(handshake.replaced_link))
         actions.append(SendTo(link, Frame("Report", {"load": self.load()})))
         if suspects := self.quarantine.rows(now):
             actions.append(SendTo(link, crashes_frame(suspects)))
@@ -117,7 +119,7 @@
 
     def link_lost(self, now: float, link: int) -> None:
         """Take in that a connection fell; its ingress may come back and ask."""
-        self._peers.lost(now, link)
+        self._peers.disconnected(now, link)
 
     def dispatch(self, now: float, wall_ms: int, link: int, req: Dispatch) -> list[Action]:
         """Take in a call."""
@@ -126,9 +128,9 @@
             self.count.fenced += 1
             return []
         drop_acked(peer, req["acked"])
-        closed = self._door.closed(now, req, self.service)
-        if closed is not None:
-            return [self._endings.refused_at_door(peer, req, *closed)]
+        rejection = self._admission.rejection(now, req, self.service)
+        if rejection is not None:
+            return [self._endings.refused_at_door(peer, req, *rejection)]
         if req["key"]:
             early = self._claims.claim(now, wall_ms, peer, req, self.load())
             if early is not None:
@@ -168,28 +170,28 @@
         served = now - ticket.started
         match result:
             case Whole():
-                self.standing.answered(result.status)
-                told = self._learn_pace(now, result.pace)
+                self.status.answered(result.status)
+                reports = self._update_pace(now, result.pace)
                 if result.status < SERVER_ERROR:
                     self._cold.answered()
-                    told += self._telling.crashes(self.quarantine.answered(now, ticket.identity))
-                told += self._turning_away.answered(ticket.started)
-                self._learn_crowding(now, ticket, served)
+                    reports += self._reports.crashes(self.quarantine.answered(now, ticket.identity))
+                reports += self._shed_guard.answered(ticket.started)
+                self._record_concurrency(now, ticket, served)
                 started = self._apply(now, self.queue.release(now, served))
-                started += self._use_slots(now)
-                return [*self._endings.answered(now, ticket_id, result, served), *started, *told]
+                started += self._update_slots(now)
+                return [*self._endings.answered(now, ticket_id, result, served), *started, *reports]
             case Shed():
-                self.standing.state = "shedding"
-                noted = self._turning_away.turned_away(now)
-                again_s = result.retry_after_s
-                return [*noted, *self._turned_away(now, ticket_id, "upstream-shed", again_s)]
+                self.status.state = "shedding"
+                reports = self._shed_guard.shed(now)
+                retry_after_s = result.retry_after_s
+                return [*reports, *self._end_shed(now, ticket_id, "upstream-shed", retry_after_s)]
             case Replaced():
-                told = self.leave(REPLACED)
+                reports = self.set_leaving(REPLACED)
                 waiting = self._waiting.refuse(self.tickets.ids(), REPLACED)
-                return [*told, *waiting, *self._turned_away(now, ticket_id, REPLACED, 0.0)]
+                return [*reports, *waiting, *self._end_shed(now, ticket_id, REPLACED, 0.0)]
             case Broken():
                 self.count.lost += 1
-                self.standing.broke()
+                self.status.failed()
                 started = self._apply(now, self.queue.release(now, None))
                 ran = "maybe" if result.sent else "no"
                 return [*self._endings.refused(ticket_id, ran, result.reason, 0.5), *started]
@@ -203,77 +205,77 @@
         if self._cold.is_overloaded(now):
             self.count.overloaded += 1
             return []
-        return self._holding.upstream_ended(now, tickets)
+        return self._quarantined.upstream_ended(now, tickets)
 
     def learn_crashes(self, now: float, suspects: list[Suspect]) -> list[Action]:
         """Take in what another daemon knows of calls that end upstreams."""
-        return self._holding.learned(now, suspects)
+        return self._quarantined.learned(now, suspects)
 
     def sampled(self, now: float, sample: Sample) -> list[Action]:
-        """Take in what the upstream says of itself now; tells ingresses what is news."""
+        """Take in what the upstream says of itself now; tells ingresses what is changes."""
         if sample.cold_s is not None:
             self._cold.seen(now, sample.cold_s)
-        told = self._note_cold(now)
+        reports = self._update_cold(now)
         if sample.pace:
-            told += self._learn_pace(now, sample.pace)
-        return [*told, *self._apply(now, self.queue.advance(now))]
+            reports += self._update_pace(now, sample.pace)
+        return [*reports, *self._apply(now, self.queue.advance(now))]
 
-    def bound_cold(self, now: float, rate: ColdRate, began: float | None = None) -> list[Action]:
+    def set_cold_rate(self, now: float, rate: ColdRate, began: float | None = None) -> list[Action]:
         """Take over what the upstream bears while it is cold; the daemon's process `began` then."""
         self._cold.bound(now, rate, began)
-        return self._note_cold(now)
+        return self._update_cold(now)
 
-    def heard_again(self, now: float, cold_s: float) -> list[Action]:
+    def announced_again(self, now: float, cold_s: float) -> list[Action]:
         """Take in that the upstream announced itself with nothing new but how long it is cold."""
         self._cold.told(now, cold_s)
-        return [*self._note_cold(now), *self.stay(REPLACED)]
+        return [*self._update_cold(now), *self.clear_leaving(REPLACED)]
 
     def end_evacuation(self, now: float) -> list[Action]:
         """Take work again; the upstream, which had none for a while, may have turned cold."""
         self._cold.assume(now)
-        return [*self._note_cold(now), *self.stay(EVACUATED)]
+        return [*self._update_cold(now), *self.clear_leaving(EVACUATED)]
 
     def announce(self, now: float, upstream: Announced) -> list[Action]:
         """Take in what the upstream says of itself; "gone" is said when none is known."""
         actions: list[Action] = []
-        if self.standing.upstream is not None and self.standing.is_another(upstream):
+        if self.status.upstream is not None and self.status.is_new_incarnation(upstream):
             self._cold.replaced()
-        if self.standing.announce(now, upstream):
+        if self.status.announce(now, upstream):
             actions += self._waiting.refuse(self.tickets.ids(), REPLACED)
         self._cold.told(now, upstream["cold_ms"] / 1000)
-        actions += self._note_cold(now)
+        actions += self._update_cold(now)
         self.service = upstream["service"]
         self._crowding.announced(upstream["slots"])
-        actions += self._use_slots(now)
+        actions += self._update_slots(now)
         if upstream["state"] == "ready":
-            return [*actions, *self.stay("upstream")]
-        return [*actions, *self.leave("upstream")]
+            return [*actions, *self.clear_leaving("upstream")]
+        return [*actions, *self.set_leaving("upstream")]
 
     def reshape(self, now: float, shape: Shape) -> list[Action]:
         """Take over the sizes of the queue; tells every ingress if the slots are others."""
         before, self.queue.shape = self.queue.shape, shape
         if before.slots == shape.slots:
             return []
-        return [*self._telling.all(), *self._apply(now, self.queue.advance(now))]
+        return [*self._reports.to_all(), *self._apply(now, self.queue.advance(now))]
 
     def set_state(self, state: str) -> list[Action]:
         """Take in what the upstream says of itself; tells every ingress if it changed."""
-        return self._telling.all() if self.standing.set_state(state) else []
+        return self._reports.to_all() if self.status.set_state(state) else []
 
-    def leave(self, source: str) -> list[Action]:
+    def set_leaving(self, source: str) -> list[Action]:
         """Stop taking new work, because `source` says that the upstream is leaving."""
-        return self._telling.all() if self.standing.leave(source) else []
+        return self._reports.to_all() if self.status.set_leaving(source) else []
 
-    def stay(self, source: str) -> list[Action]:
+    def clear_leaving(self, source: str) -> list[Action]:
         """Take back what `source` said; other sources still count."""
-        return self._telling.all() if self.standing.stay(source) else []
+        return self._reports.to_all() if self.status.clear_leaving(source) else []
 
     def tick(self, now: float) -> list[Action]:
         """Refuse what has waited too long, drop what nobody will ask for, forget old peers."""
-        actions = self._note_cold(now)
+        actions = self._update_cold(now)
         actions += self._apply(now, self.queue.expire(now))
         actions += self._apply(now, self.queue.advance(now))
-        actions += self._turning_away.tick(now)
+        actions += self._shed_guard.tick(now)
         for peer in self._peers.orphaned(now):
             dropped = self._waiting.refuse(list(peer.live.values()), "ingress-gone")
             self.count.withdrawn += len(dropped)
@@ -286,7 +288,7 @@
     @property
     def leaving(self) -> bool:
         """Return whether this upstream takes no new work."""
-        return self.standing.leaving
+        return self.status.leaving
 
     @property
     def calls(self) -> int:
@@ -314,33 +316,33 @@
 
     def load(self) -> Load:
         """Return the load as it is now."""
-        return self._telling.load()
+        return self._reports.load()
 
     # Steps
 
-    def _note_cold(self, now: float) -> list[Action]:
+    def _update_cold(self, now: float) -> list[Action]:
         """Tell every ingress if the upstream has turned cold or warm."""
         cold = self._cold.is_cold(now)
-        if cold == self.standing.cold:
+        if cold == self.status.cold:
             return []
-        self.standing.cold = cold
-        return self._telling.all()
+        self.status.cold = cold
+        return self._reports.to_all()
 
-    def _learn_pace(self, now: float, pace: int) -> list[Action]:
-        self.standing.pace = pace
+    def _update_pace(self, now: float, pace: int) -> list[Action]:
+        self.status.pace = pace
         match self.queue:
             case DueQueue() as queue:
                 queue.pace.told(now, pace)
-        return self._telling.pace(now)
+        return self._reports.pace_change(now)
 
-    def _learn_crowding(self, now: float, ticket: Ticket, served_s: float) -> None:
-        if self.standing.upstream is not None:
+    def _record_concurrency(self, now: float, ticket: Ticket, served_s: float) -> None:
+        if self.status.upstream is not None:
             route = ticket.request.get("route", "")
             self._crowding.answered(now, route, ticket.beside, served_s)
 
-    def _use_slots(self, now: float) -> list[Action]:
+    def _update_slots(self, now: float) -> list[Action]:
         """Use as many slots of an upstream that announces itself as are worth it now."""
-        if self.standing.upstream is None:
+        if self.status.upstream is None:
             return []
         slots = self._crowding.room(now)
         shape = self.queue.shape._replace(slots=slots, queue=slots * QUEUE_PER_SLOT)
@@ -365,7 +367,7 @@
         actions: list[Action] = []
         for decision in decisions:
             match decision:
-                case Start(ticket_id) if now > self.standing.stop_at:
+                case Start(ticket_id) if now > self.status.last_start_at:
                     actions += self._apply(now, self.queue.release(now, None))
                     actions += self._endings.refused(ticket_id, "no", "upstream-leaving", 0.0)
                 case Start(ticket_id):
@@ -379,10 +381,10 @@
         ticket.beside = self.queue.busy
         self.count.dispatched += 1
         self.count.repeats += ticket.request["retried"]
-        instance = self.standing.instance
+        instance = self.status.instance
         return StartCall(ticket_id, ticket.request, ticket.deadline - now, instance)
 
-    def _turned_away(
+    def _end_shed(
         self, now: float, ticket_id: int, reason: str, retry_after_s: float
     ) -> list[Action]:
         self.count.turned_away += 1
--- a/tests/unit/delivery/test_owner.py
+++ b/tests/unit/delivery/test_owner.py
@@ -19,9 +19,9 @@
     StartCall,
     Whole,
 )
+from foldhoist.delivery.load_reports import MAX_PACE_REPORTS
 from foldhoist.delivery.owner import Owner
-from foldhoist.delivery.standing import PACE_KEPT_MS, REPLACED
-from foldhoist.delivery.telling import MOST_TOLD
+from foldhoist.delivery.upstream_status import PACE_KEPT_MS, REPLACED
 from foldhoist.quarantine.table import HELD
 
 if TYPE_CHECKING:
@@ -85,17 +85,17 @@
 def test_what_never_arrived_did_not_run_and_what_was_forgotten_may_have() -> None:
     owner = make()
     assert said(owner.fate(0.1, 1, {"seqs": [7]})) == [(7, "Refusal", "no")]
-    for seq in range(1, peers_module.KEPT_RESULTS + 10):
+    for seq in range(1, peers_module.MAX_KEPT_RESULTS + 10):
         (start,) = owner.dispatch(0.2, 0, 1, dispatch(seq))
         assert isinstance(start, StartCall)
         owner.finished(0.3, start.ticket, ANSWER)
     assert said(owner.fate(0.4, 1, {"seqs": [1]})) == [(1, "Refusal", "maybe")]
-    newest = peers_module.KEPT_RESULTS + 9
+    newest = peers_module.MAX_KEPT_RESULTS + 9
     assert said(owner.fate(0.4, 1, {"seqs": [newest]})) == [(newest, "Answer", "")]
 
 
 def test_results_kept_for_all_ingresses_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peers_module, "KEPT_TOTAL_BYTES", 20_000)
+    monkeypatch.setattr(peers_module, "MAX_KEPT_TOTAL_BYTES", 20_000)
     owner = make()
     for link in range(1, 11):
         owner.hello(0.0, link, hello(f"in-{link}", 2))
@@ -151,7 +151,7 @@
         assert isinstance(start, StartCall)
         assert reached(owner.finished(0.2, start.ticket, result)) == [was_there]
     owner = make()
-    owner.leave("drain")
+    owner.set_leaving("drain")
     assert reached(owner.dispatch(0.1, 0, 1, dispatch(2))) == [False]
 
 
@@ -187,7 +187,7 @@
     assert isinstance(start, StartCall)
     owner.finished(0.2, start.ticket, Replaced())
     assert owner.leaving
-    assert len(said(owner.stay(REPLACED))) == 1
+    assert len(said(owner.clear_leaving(REPLACED))) == 1
     assert isinstance(owner.dispatch(0.3, 0, 1, dispatch(2))[-1], StartCall)
 
 
@@ -204,12 +204,12 @@
 
 def test_leaving_by_any_source_refuses_and_tells_and_one_taken_back_leaves_the_others() -> None:
     owner = make()
-    assert len(said(owner.leave("host-list"))) == 1
-    owner.leave("drain")
+    assert len(said(owner.set_leaving("host-list"))) == 1
+    owner.set_leaving("drain")
     assert said(owner.dispatch(0.1, 0, 1, dispatch(1))) == [(1, "Refusal", "no")]
-    owner.stay("host-list")
+    owner.clear_leaving("host-list")
     assert owner.leaving
-    owner.stay("drain")
+    owner.clear_leaving("drain")
     assert not owner.leaving
 
 
@@ -262,13 +262,13 @@
 
 def test_a_change_of_pace_is_told_to_the_newest_users_and_not_to_all() -> None:
     owner = make()
-    for link in range(2, MOST_TOLD + 10):
+    for link in range(2, MAX_PACE_REPORTS + 10):
         owner.hello(0.0, link, hello(f"in-{link}", 1))
         (start,) = owner.dispatch(link / 100, 0, link, dispatch(1))
         assert isinstance(start, StartCall)
         owner.finished(link / 100, start.ticket, Whole(200, [], b"", 100))
     told = [action.link for action in owner.sampled(1.0, Sample(500)) if isinstance(action, SendTo)]
-    assert told == list(range(MOST_TOLD + 9, 9, -1))
+    assert told == list(range(MAX_PACE_REPORTS + 9, 9, -1))
     assert owner.sampled(1.1, Sample(510)) == []
     assert owner.sampled(1.0 + PACE_KEPT_MS / 1000, Sample(100)) == []
 
