--- a/foldhoist/routing/picker.py
+++ b/foldhoist/routing/picker.py
@@ -264,7 +264,7 @@
         match self.policy:
             case Mixed(trust=trust, paces=paces):
                 if ahead >= 0:
-                    trust.update(sent.own_calls, sent.other_calls, ahead)
+                    trust.update(sent.own, sent.others, ahead)
                 if pace:
                     paces.update(pace)
 
--- a/foldhoist/routing/upstream_stats.py
+++ b/foldhoist/routing/upstream_stats.py
@@ -25,8 +25,8 @@
     """When a call was sent, and what was believed of its upstream then."""
 
     at: float
-    own_calls: int
-    other_calls: float
+    own: int
+    others: float
 
 
 class UpstreamStats:
