--- a/foldhoist/routing/__init__.py
+++ b/foldhoist/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choosing an upstream; no I/O."""
+"""Route lookup and upstream selection; no I/O."""
--- a/foldhoist/routing/picker.py
+++ b/foldhoist/routing/picker.py
@@ -1,4 +1,4 @@
-"""Chooses an upstream of one service: who may be chosen, ejection, slow start, then a policy."""
+"""Picks an upstream of one service: filters candidates, ejects outliers, then applies a policy."""
 
 from __future__ import annotations
 
@@ -25,37 +25,37 @@
     from foldhoist.schema.messages import Load
 
 NO_CONNECTION = "no-upstream-connected"
-"""Reason of a refusal for want of any connection."""
+"""Refusal reason: no upstream of the service is connected."""
 ALL_EVACUATED = "all-data-centres-evacuated"
-"""Reason of a refusal where every upstream that is connected is in an evacuated data centre."""
+"""Refusal reason: every connected upstream is in an evacuated data centre."""
 EVACUATED_RETRY_S = 1.0
-"""When to ask again then, seconds: an evacuation stands for seconds at least."""
+"""Retry delay after such a refusal, seconds."""
 EJECT_ERROR_SHARE = 0.5
-"""Share of recent errors from which on an upstream is ejected."""
+"""An upstream is ejected at this share of errors or above."""
 EJECT_MIN_RESULTS = 3
-"""Results needed before an upstream is judged."""
+"""Results needed before an upstream can be ejected."""
 EJECT_SLOW_FACTOR = 6.0
 """An upstream this many times slower than the median of the others is ejected."""
 EJECT_MIN_LATENCY_S = 0.01
-"""Slowness below this is never a reason, seconds."""
+"""A latency below this never ejects an upstream, seconds."""
 FIRST_EJECTION_S = 0.5
-"""Length of a first ejection, seconds; it doubles each time."""
+"""Length of the first ejection, seconds; it doubles with each further one."""
 MAX_EJECTION_S = 30.0
 """Longest ejection, seconds."""
 TRIAL_CALLS = 3
-"""Good answers that a returning upstream must give, one at a time."""
+"""Successful trial calls, one at a time, that end the probation after an ejection."""
 TRIAL_PAUSE_S = 0.05
-"""Time between two of these, seconds."""
+"""Minimum time between the last result and the next trial call, seconds."""
 RAMP_S = 2.0
-"""A new upstream is given its full share after this long, seconds."""
+"""Length of the slow start of a new upstream, seconds."""
 MIN_REFUSAL_PAUSE_S = 0.02
-"""An upstream that refused is left out at least this long, seconds."""
+"""Minimum time for which an upstream is skipped after it refused a call, seconds."""
 MAX_REFUSAL_PAUSE_S = 0.05
-"""An upstream that refused is left out at most this long, seconds."""
+"""Maximum time for which an upstream is skipped after it refused a call, seconds."""
 
 
 class Member(NamedTuple):
-    """An upstream that this daemon tracks."""
+    """An upstream that the picker may choose; `slots` is the number of calls it runs at once."""
 
     name: str
     data_centre: str
@@ -63,7 +63,7 @@
 
 
 class Choice(NamedTuple):
-    """The chosen upstream, why, and the candidates it was chosen from."""
+    """The chosen upstream, the reason, and the best candidates; none if not asked to explain."""
 
     name: str
     reason: str
@@ -71,7 +71,7 @@
 
 
 class NoChoice(NamedTuple):
-    """No upstream may get the call; ask again after `retry_after_s` seconds."""
+    """No upstream can take the call; the caller may retry after `retry_after_s` seconds."""
 
     reason: str
     retry_after_s: float
@@ -81,7 +81,10 @@
 
 
 class Picker:
-    """The upstreams of one service as one daemon sees them; `now` is in seconds, monotonic."""
+    """Selects among the upstreams of one service; `now` is monotonic time in seconds.
+
+    `eject_share` is the largest share of the upstreams that may be ejected at a time.
+    """
 
     def __init__(self, policy: Policy, data_centre: str, eject_share: float, rng: Random) -> None:
         self.policy = policy
@@ -95,13 +98,16 @@
         self._has_members = False
 
     def members(self, members: Iterable[Member], now: float) -> None:
-        """Set the upstreams to choose from; those known already keep what is known of them."""
+        """Set the upstreams to choose from; known ones keep their statistics.
+
+        Upstreams added by a later call of this method go through slow start.
+        """
         kept: dict[str, UpstreamStats] = {}
         for member in members:
             stats = self.tracks.get(member.name)
             if stats is None:
-                since = now if self._has_members else now - RAMP_S
-                stats = UpstreamStats(member.name, member.data_centre, member.slots, since)
+                ramp_start = now if self._has_members else now - RAMP_S
+                stats = UpstreamStats(member.name, member.data_centre, member.slots, ramp_start)
             kept[member.name] = stats
         self.tracks = kept
         self._has_members = True
@@ -116,7 +122,8 @@
     ) -> Pick:
         """Choose an upstream for one call, other than the excluded ones.
 
-        `remote_s` is what a call of this route to another data centre costs beside its time.
+        `remote_s` is the cost added to upstreams in another data centre, seconds. Without `explain`
+        the choice lists no candidates.
         """
         candidates: list[UpstreamStats] = []
         ejected: list[UpstreamStats] = []
@@ -180,7 +187,7 @@
         return Choice(stats.name, reason, recorded_candidates(candidates, stats, scores, now))
 
     def sent(self, name: str, seq: int, now: float) -> None:
-        """Count a call that was sent to this upstream."""
+        """Record that a call was sent to this upstream."""
         stats = self.tracks.get(name)
         if stats is not None:
             stats.sent(seq, now)
@@ -197,10 +204,11 @@
         size: int = 0,
         served_s: float = 0.0,
     ) -> None:
-        """Take in an answer; `ahead` is the number of calls that it met, -1 if unknown.
+        """Record an answer.
 
-        `served_s` is the time of the work itself, 0 if unknown: waiting in line says nothing of how
-        long calls of the route take.
+        `ahead` is the number of calls that were at the upstream before this one, -1 if unknown.
+        `size` is the bytes of both bodies. `served_s` is the service time without queueing, used
+        for the route's mean; if it is 0, unknown, the latency is used.
         """
         stats = self.tracks.get(name)
         if stats is None:
@@ -217,7 +225,7 @@
         self._record_result(stats, now, latency_s * self.times.scale(route), failed)
 
     def refused(self, name: str, seq: int, now: float, retry_after_s: float, load: Load) -> None:
-        """Take in a refusal: leave the upstream out until it may have room again."""
+        """Record a refusal, and skip the upstream for `retry_after_s` seconds, within bounds."""
         stats = self.tracks.get(name)
         if stats is None:
             return
@@ -228,7 +236,7 @@
         stats.backoff_until = max(stats.backoff_until, now + pause_s)
 
     def lost(self, name: str, seq: int, now: float) -> None:
-        """Take in a call that ended without answer or refusal."""
+        """Record a call that ended without an answer or a refusal as failed."""
         stats = self.tracks.get(name)
         if stats is None:
             return
@@ -237,14 +245,14 @@
             self._record_result(stats, now, now - sent.at, failed=True)
 
     def abandoned(self, name: str, seq: int, now: float) -> None:
-        """Take in a call that nobody waits for any more; it took at least as long as until now."""
+        """Record a call whose answer is no longer awaited, if it already took longer than usual."""
         stats = self.tracks.get(name)
         sent = stats.ended(seq) if stats is not None else None
         if stats is not None and sent is not None and now - sent.at > stats.latency_s:
             self._record_result(stats, now, now - sent.at, failed=False)
 
     def reported(self, name: str, now: float, load: Load) -> None:
-        """Take in a report of the owner's that came by itself."""
+        """Record an unsolicited load report of the owner."""
         stats = self.tracks.get(name)
         if stats is None:
             return
@@ -252,7 +260,10 @@
         self._update_state(stats, load)
 
     def linked(self, name: str, now: float, up: bool, fresh: bool) -> None:
-        """Take in that the connection to the owner stands or fell; `fresh` marks a new life."""
+        """Record that the connection to the owner is up or down.
+
+        `fresh` marks a new incarnation, whose statistics start anew.
+        """
         stats = self.tracks.get(name)
         if stats is None:
             return
@@ -282,7 +293,7 @@
         stats.accepts_calls = load["state"] not in ("leaving", "down", "refusing")
 
     def _ready_for_trial(self, stats: UpstreamStats, now: float) -> UpstreamStats | None:
-        """Return the upstream if a call is to find out now whether it has recovered."""
+        """Return the upstream if a trial call may be sent to it now."""
         return (
             stats if stats.in_flight == 0 and now - stats.last_result_at >= TRIAL_PAUSE_S else None
         )
--- a/foldhoist/routing/policies.py
+++ b/foldhoist/routing/policies.py
@@ -1,4 +1,4 @@
-"""Ways to choose among upstreams; each is a data class, selected in the configuration."""
+"""Load balancing policies; each is a data class, selected in the configuration."""
 
 from __future__ import annotations
 
@@ -16,47 +16,48 @@
     from foldhoist.routing.upstream_stats import UpstreamStats
 
 REMOTE_COST_S = 0.001
-"""What a call to another data centre costs beside its service time, seconds."""
+"""Default cost added for an upstream in another data centre, seconds."""
 TOLERATED_ERRORS = 0.05
-"""A share of errors up to this costs an upstream nothing."""
+"""Error shares up to this do not raise the cost of an upstream."""
 ERROR_COST = 10.0
-"""What a share of errors costs, in service times."""
+"""Added cost at an error share of 1, as a multiple of the expected time."""
 MAX_RECORDED = 4
-"""Candidates that a decision record keeps."""
+"""Maximum number of candidates in a decision record."""
 SIMILAR_FACTOR = 2.0
-"""Service times within this factor of the fastest count as alike; docs/design/choosing.md."""
+"""Service times within this factor of the fastest count as equal; docs/design/choosing.md."""
 TIE_TOLERANCE = 0.05
-"""Scores closer than this share of the best one count as equal and are drawn by lot."""
+"""Scores within this share of the best count as equal; one of them is drawn at random."""
 
 
 @dataclass(frozen=True)
 class RandomChoice:
-    """Any upstream, with equal chance."""
+    """Picks uniformly at random."""
 
 
 @dataclass
 class RoundRobin:
-    """One after the other."""
+    """Picks the upstreams in turn."""
 
     turn: int = 0
 
 
 @dataclass(frozen=True)
 class LeastInFlight:
-    """The one with the fewest calls of this daemon's own in flight."""
+    """Picks the upstream with the fewest calls in flight from this daemon."""
 
 
 @dataclass(frozen=True)
 class TwoChoices:
-    """The less occupied of two drawn by lot."""
+    """Picks the less occupied of two random upstreams."""
 
 
 @dataclass(frozen=True)
 class HotCold:
-    """Prequal's rule: of the less occupied ones the fastest, else the least occupied.
+    """Picks the fastest of the cold upstreams, as Prequal does.
 
-    Requests in flight above the `quantile` of all make an upstream hot (Wydrowski and others,
-    "Load is not what you should balance: introducing Prequal", NSDI 2024).
+    An upstream is hot if its occupancy is above the `quantile` of all. If none is hot but some may
+    be full, the least occupied is picked (Wydrowski and others, "Load is not what you should
+    balance: introducing Prequal", NSDI 2024).
     """
 
     quantile: float = 0.7
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True)
 class Mixed:
-    """The least expected time, from own calls in flight, aged reports and distance."""
+    """Picks the least expected time, from calls in flight, load reports, errors and distance."""
 
     data_centre: str = ""
     trust: Trust = field(default_factory=Trust)
@@ -75,7 +76,7 @@
 
 
 class Scored(NamedTuple):
-    """A candidate with the inputs that its choice rested on; ages and times in seconds."""
+    """A candidate of a choice with its score and inputs; ages and times in seconds."""
 
     name: str
     score: float
@@ -87,7 +88,7 @@
 
 
 def make_policy(name: str, data_centre: str) -> Policy:
-    """Return the policy of this name from the configuration."""
+    """Return the policy of this name; an unknown name gives `Mixed`."""
     match name:
         case "random":
             return RandomChoice()
@@ -110,9 +111,9 @@
     remote_s: float = REMOTE_COST_S,
     cold_s: float = 0.0,
 ) -> tuple[UpstreamStats, list[float] | None]:
-    """Return the upstream that the policy picks, and expected times if it needed those.
+    """Return the upstream that the policy picks, and the expected times if it computed them.
 
-    `among` is not empty.
+    `candidates` must not be empty.
     """
     if isinstance(policy, Mixed):
         scores = expected_s(
@@ -147,13 +148,13 @@
     remote_s: float = REMOTE_COST_S,
     cold_s: float = 0.0,
 ) -> list[float]:
-    """Return the expected time of one more call at each, seconds, errors and distance included.
+    """Return the expected time of one more call at each candidate, with penalties, seconds.
 
-    `remote_s` is what another data centre costs beside the time of the call, `cold_s` the time
-    between two calls that a cold upstream bears.
+    `trust` weights the calls of other daemons, `remote_s` is added for another data centre, and
+    `cold_s` is added for a cold upstream.
 
-    Upstreams whose answers take about as long as those of the fastest are taken for equally fast:
-    what is left of the difference is chance, and calls would flock to the luckiest.
+    Service times close to the fastest count as equal to it, so that noise does not concentrate
+    calls on one upstream.
     """
     times: list[float] = []
     for stats in candidates:
@@ -191,7 +192,7 @@
 def recorded_candidates(
     candidates: Sequence[UpstreamStats], chosen: UpstreamStats, scores: Sequence[float], now: float
 ) -> tuple[Scored, ...]:
-    """Return the inputs of the choice for its record: the chosen one and the next best."""
+    """Return the best candidates for the decision record, always with the chosen one."""
     best = sorted(range(len(candidates)), key=scores.__getitem__)[:MAX_RECORDED]
     at = candidates.index(chosen)
     if at not in best:
--- a/foldhoist/routing/routes.py
+++ b/foldhoist/routing/routes.py
@@ -1,4 +1,4 @@
-"""Which service a call belongs to, and what its route says: kind, rank, attempts, times."""
+"""Route lookup: maps a call's host, path and method to a service and call options."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
     from foldhoist.schema.fleet import Fleet, Route
 
 NO_RANK = -1
-"""Rank of a call whose route gives none: `urgent` alone tells it from others."""
+"""Rank of a call whose route sets none; its priority then depends on `urgent` alone."""
 ANY_HOST = ""
-"""Host of a route that takes the calls of every host."""
+"""Host of a route that matches every host."""
 
 
 class WeightedService(NamedTuple):
-    """A service that takes a share of a route's calls."""
+    """A service of a split route with its weight."""
 
     service: str
     weight: float
 
 
 class RouteMatch(NamedTuple):
-    """A call's service and the kind of call it is; times are seconds, 0 where none is given.
+    """The service and options of a call; times are seconds, 0 where the route sets none.
 
-    `open` says that it needs no API key, `bulk` that its answers are large.
+    `open` routes need no API key, and `bulk` routes have large answers. `parts` is empty unless
+    the route is split.
     """
 
     service: str
@@ -46,7 +47,7 @@
 
 
 class RouteTable:
-    """The routes of one configuration by host, longest prefix first."""
+    """The routes of one configuration by host, longest prefix first, and service prefixes."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._by_host = _rules(fleet)
@@ -61,7 +62,10 @@
         )
 
     def find(self, method: str, path: str, host: str = ANY_HOST) -> RouteMatch | None:
-        """Return the service and kind of a call, or None if no prefix matches."""
+        """Return the service and options of a call, or None if no prefix matches.
+
+        Routes of the host come before those of every host, and service prefixes come last.
+        """
         for name in (host, ANY_HOST) if host else (ANY_HOST,):
             for rule in self._by_host.get(name, ()):
                 if path.startswith(rule.prefix) and (not rule.methods or method in rule.methods):
@@ -73,7 +77,7 @@
 
 
 def parse_split(text: str) -> tuple[WeightedService, ...]:
-    """Return the parts of a `split` option; raises ValueError if it is none."""
+    """Return the weighted services of a `split` option; raises ValueError if it is malformed."""
     parts: list[WeightedService] = []
     for entry in text.split(","):
         if not entry.strip():
--- a/foldhoist/routing/sampling.py
+++ b/foldhoist/routing/sampling.py
@@ -1,9 +1,8 @@
-"""When an owner asks its upstream for its pace: as often as that saves more than it costs.
+"""Schedules the owner's samples of its upstream's pace; no I/O, no clock.
 
-Work at an upstream may take several times as long from one moment to the next, because of its
-neighbours on the machine. Until that is known, calls go on being sent there. A sample shortens that
-time, and costs something; how often to take one follows from the calls that come, from how often
-the pace was seen to change, and from that cost. No I/O, no clock.
+The pace may change suddenly, and calls are sent at the old estimate until the change is seen. The
+sampling interval balances the cost of a sample against that loss, from the rate of calls and the
+observed rate of changes.
 """
 
 from __future__ import annotations
@@ -11,29 +10,29 @@
 from math import exp, sqrt
 
 CHANGE_FACTOR = 1.5
-"""A pace counts as another one when it differs by at least this factor."""
+"""Minimum ratio of two paces that counts as a change."""
 LOSS_PER_CALL = 0.5
-"""What a call loses at an upstream that has turned slow unseen, in calls: assumed, not measured."""
+"""Assumed loss of a call sent before a change of pace is seen, in calls."""
 CALL_DECAY_S = 2.0
-"""Calls count by 1/e after this long, seconds: longer than an upstream is avoided for its pace."""
+"""Time constant of the call count, seconds; longer than an upstream is avoided for its pace."""
 CHANGE_DECAY_S = 5.0
-"""Changes of the pace count by 1/e after this long, seconds: some tens of changes."""
+"""Time constant of the count of pace changes, seconds."""
 INITIAL_CHANGES_PER_S = 1.0
-"""Changes of the pace a second that are assumed before any was seen."""
+"""Rate of pace changes assumed before any was observed, per second."""
 MIN_INTERVAL_S = 0.025
-"""Shortest time between two samples, seconds: below it, messages to peers take as long."""
+"""Minimum time between two samples, seconds; messages to peers take about as long."""
 MAX_INTERVAL_S = 0.5
-"""If so much time between two samples would do, none is taken, seconds."""
+"""No samples are taken if the interval would be this long or longer, seconds."""
 FIRST_BACKOFF_S = 0.1
-"""Pause after a sample failed, seconds; it doubles each time."""
+"""Pause after the first failed sample, seconds; it doubles with each further one."""
 MAX_BACKOFF_S = 3.0
-"""Longest such pause, seconds."""
+"""Maximum pause after a failed sample, seconds."""
 
 
 class SamplePlan:
     """Decides when the next sample is due; times are monotonic seconds.
 
-    `cost_calls` is what a sample costs, in calls; 0 for no samples.
+    `cost_calls` is the cost of a sample as a number of calls; 0 disables samples.
     """
 
     def __init__(self, cost_calls: float) -> None:
@@ -48,12 +47,12 @@
         self._retry_at = 0.0
 
     def record_call(self, now: float) -> None:
-        """Take in that a call came for the upstream."""
+        """Record a call for the upstream."""
         self._calls = self._calls_at(now) + 1.0
         self._last_call_at = now
 
     def record_pace(self, now: float, pace: int) -> None:
-        """Take in a pace, of an answer or of a sample, percent; 0 if none was told."""
+        """Record the pace of an answer or a sample, percent; 0 if it carried none."""
         self._failures = 0
         if not pace:
             return
@@ -66,14 +65,14 @@
         self._pace_at = now
 
     def record_failure(self, now: float) -> None:
-        """Take in that a sample told nothing."""
+        """Record that a sample failed, and back off."""
         self._retry_at = now + min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2.0**self._failures)
         self._failures += 1
 
     def next_at(self, now: float) -> float | None:
         """Return when the next sample is due; None while samples would cost more than they save.
 
-        An upstream that has never told a pace is not asked.
+        An upstream that has never reported a pace is not sampled.
         """
         if not self.cost_calls or not self._pace:
             return None
@@ -83,9 +82,9 @@
         return max(self._pace_at + interval_s, self._retry_at)
 
     def _interval_s(self, now: float) -> float:
-        """Return the time between two samples at which what they cost equals what they save.
+        """Return the time between two samples at which their cost equals the loss they avoid.
 
-        A change stays unseen for half of that time on average.
+        A change stays unseen for half of the interval on average.
         """
         changes_per_s = (self._changes + INITIAL_CHANGES_PER_S) / (self._observed_s + 1.0)
         lost_per_s2 = LOSS_PER_CALL * self._calls_at(now) / CALL_DECAY_S * changes_per_s / 2.0
@@ -98,6 +97,6 @@
 
 
 def is_change(before: int, after: int) -> bool:
-    """Return whether two paces differ by more than small noise."""
+    """Return whether two paces differ by at least the factor that counts as a change."""
     low, high = sorted((before, after))
     return high >= low * CHANGE_FACTOR
--- a/foldhoist/routing/split.py
+++ b/foldhoist/routing/split.py
@@ -1,4 +1,4 @@
-"""Shares a route's calls among several services by weight."""
+"""Splits a route's calls among several services by weight."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
     from foldhoist.routing.routes import WeightedService
 
 GOLDEN_RATIO = 0.6180339887498949
-"""Fraction of the whole between two draws: the golden ratio spreads them evenly."""
+"""Step between two draws, as a fraction of all weights; it spreads the draws evenly."""
 
 
 class Split:
-    """Draws services so that even few calls come close to the weights.
+    """Draws services by weight from a low-discrepancy sequence.
 
-    Daemons begin at points drawn by lot, so that many of them together come close, too.
+    The shares of few calls already come close to the weights. Each daemon starts at a random point,
+    so that the total over daemons comes close, too.
     """
 
     def __init__(self, parts: tuple[WeightedService, ...], rng: Random) -> None:
@@ -24,9 +25,10 @@
         self._position = rng.random()
 
     def draw(self) -> str:
-        """Return the service of the next call, whether it has room or not.
+        """Return the service of the next call.
 
-        What does not fit into a part is refused: the users' shares hold under load, too.
+        Load is not considered: a service without free capacity refuses the call, and the shares
+        hold under overload.
         """
         self._position = (self._position + GOLDEN_RATIO) % 1.0
         remaining = self._position * sum(part.weight for part in self.parts)
--- a/foldhoist/routing/times.py
+++ b/foldhoist/routing/times.py
@@ -1,7 +1,7 @@
-"""How long calls of each route take beside those of the whole service, and how large they are.
+"""Mean times and sizes of calls by route, and pace estimates of upstreams.
 
-Routes of one service may differ several times over; what is measured of an upstream is brought to
-one scale before upstreams are compared.
+Routes of one service may take very different times, so latencies are scaled to the service's mean
+before upstreams are compared.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 SMOOTHING = 0.05
 """Weight of the newest answer in the running means."""
 MIN_RESULTS = 5
-"""Answers of a route before it is told apart from the service."""
+"""Answers of a route needed before its own mean is used instead of the service's."""
 PACE_DECAY_S = 0.3
-"""What an upstream said of its pace counts by 1/e after this long, seconds."""
+"""Time constant of the decay of a reported pace, seconds."""
 USUAL_PACE = 100.0
-"""Pace of an upstream that works as usual, percent."""
+"""Pace of an upstream at its usual speed, percent."""
 
 
 class RouteTimes:
-    """Mean times of a service's answers, all together and by route, seconds."""
+    """Running means of a service's answer times, in total and by route, and of body sizes."""
 
     __slots__ = ("_by_route", "_mean", "_results", "_sizes")
 
@@ -30,7 +30,7 @@
         self._sizes: dict[str, float] = {}
 
     def update(self, route: str, latency_s: float, size: int = 0) -> None:
-        """Take in the time of an answer, and the bytes of both bodies."""
+        """Add the time of an answer, seconds, and the size of both bodies, bytes."""
         self._results += 1
         self._mean = _updated_mean(self._mean, latency_s, self._results)
         results, mean = self._by_route.get(route, (0, 0.0))
@@ -38,16 +38,16 @@
         self._sizes[route] = _updated_mean(self._sizes.get(route, 0.0), float(size), results + 1)
 
     def mean(self, route: str) -> float:
-        """Return how long a call of this route takes, seconds; 0 if nothing is known."""
+        """Return the mean time of a call of this route, seconds; 0 if nothing is known."""
         results, mean = self._by_route.get(route, (0, 0.0))
         return mean if results >= MIN_RESULTS else self._mean
 
     def size(self, route: str) -> float:
-        """Return the bytes of both bodies of such a call, 0 if nothing is known."""
+        """Return the mean size of both bodies of such a call, bytes; 0 if nothing is known."""
         return self._sizes.get(route, 0.0)
 
     def scale(self, route: str) -> float:
-        """Return what brings a time of this route to the scale of the service."""
+        """Return the factor that scales a time of this route to the service's mean."""
         results, mean = self._by_route.get(route, (0, 0.0))
         if results < MIN_RESULTS or mean <= 0.0:
             return 1.0
@@ -55,7 +55,7 @@
 
 
 class PaceEstimates:
-    """What upstreams of a service say of their pace, and how far an old word still holds."""
+    """The mean pace that the upstreams of a service report, and the effect of one report."""
 
     __slots__ = ("_mean", "_results")
 
@@ -64,14 +64,14 @@
         self._results = 0
 
     def update(self, pace: int) -> None:
-        """Take in the pace that came with an answer, percent."""
+        """Add the pace that came with an answer, percent."""
         self._results += 1
         self._mean = _updated_mean(self._mean, float(pace), self._results)
 
     def factor(self, pace: int, age_s: float) -> float:
-        """Return how much longer than on average a call takes now at this upstream.
+        """Return the expected service time relative to the mean; 1 if `pace` is 0, unknown.
 
-        `age_s` is how old the word is, less the time for which it holds.
+        `age_s` is the age of the report, less the time for which it holds undecayed.
         """
         if not pace:
             return 1.0
--- a/foldhoist/routing/trust.py
+++ b/foldhoist/routing/trust.py
@@ -1,4 +1,4 @@
-"""How far reports of load are to be trusted: as far as they have foretold what calls met."""
+"""Weight of load reports, learned from how well they predict the calls ahead."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 
 
 class Trust:
-    """Compares two ways to foretell how many calls are ahead of one: by report, and by the mean.
+    """Compares the load report with the running mean as a prediction of other daemons' calls.
 
-    A report that is late, or misleads, foretells worse than the mean of what others had there. It
-    then counts for nothing, and only the own calls in flight tell upstreams apart.
+    `weight` is 0 while reports predict no better than the mean, which happens if they are late or
+    wrong; upstreams are then compared by own calls in flight alone. It is 1 once the error of
+    reports is at most half that of the mean.
     """
 
     __slots__ = ("_mean", "_mean_error", "_report_error", "weight")
@@ -22,7 +23,7 @@
         self._mean_error = 0.0
 
     def update(self, own: int, others: float, ahead: int) -> None:
-        """Take in an answer: what was believed when its call was sent, and what it met."""
+        """Add an answer: the calls estimated when it was sent, and the `ahead` calls it met."""
         met = max(0, ahead - own)
         self._report_error += SMOOTHING * (abs(others - met) - self._report_error)
         self._mean_error += SMOOTHING * (abs(self._mean - met) - self._mean_error)
--- a/foldhoist/routing/upstream_stats.py
+++ b/foldhoist/routing/upstream_stats.py
@@ -1,4 +1,4 @@
-"""What one daemon knows of one upstream, and how sure it may be of it."""
+"""Statistics of one upstream as one daemon sees it, with decay of old results."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
     from foldhoist.schema.messages import Load
 
 UNKNOWN_SERVICE_S = 0.001
-"""Service time assumed of an upstream that has not answered yet, seconds."""
+"""Service time assumed for an upstream that has not answered yet, seconds."""
 SMOOTHING = 0.2
-"""Weight of the newest answer in the running means."""
+"""Weight of the newest result in the running means."""
 STALE_S = 1.0
-"""What was measured keeps its full weight for this long without a new result, seconds."""
+"""Results keep their full weight for this long without a new one, seconds."""
 RESULT_HALF_LIFE_S = 2.0
-"""After that, slowness and errors count half each time this long passes, seconds."""
+"""Half-life of latency and errors after that, seconds."""
 REPORT_HALF_LIFE_S = 0.05
-"""A reported load counts half after this long, seconds; measured in docs/design/choosing.md."""
+"""Half-life of a reported load, seconds; see docs/design/choosing.md."""
 LN_2 = 0.6931471805599453
 
 
 class SentCall(NamedTuple):
-    """When a call was sent, and what was believed of its upstream then."""
+    """When a call was sent, and the calls then at its upstream: own ones, and others estimated."""
 
     at: float
     own: int
@@ -30,7 +30,12 @@
 
 
 class UpstreamStats:
-    """One upstream as this daemon sees it; times are seconds, monotonic."""
+    """Statistics of one upstream; times are monotonic seconds.
+
+    `errors` is the running share of failed calls, and `other_calls` the calls of other daemons in
+    the last load report. `trial_left` counts the trial calls that must still succeed after an
+    ejection.
+    """
 
     __slots__ = (
         "accepts_calls",
@@ -80,19 +85,19 @@
         self.trial_left = 0
 
     def sent(self, seq: int, now: float) -> None:
-        """Count a call that was just sent, with what was expected of it."""
+        """Record a call that was just sent, with the load estimated at that time."""
         self.sent_calls[seq] = SentCall(now, self.in_flight, self.decayed_other_calls(now))
         self.in_flight += 1
 
     def ended(self, seq: int) -> SentCall | None:
-        """Count the end of a call; return what was noted of it, or None if it was not counted."""
+        """Remove a call that ended; return its record, or None if it is not in flight."""
         sent = self.sent_calls.pop(seq, None)
         if sent is not None:
             self.in_flight -= 1
         return sent
 
     def update_load(self, load: Load, now: float) -> None:
-        """Take over the load that the owner attached to a message."""
+        """Store the load that the owner attached to a message."""
         self.load = load
         self.load_at = now
         self.pace = load.get("pace", 0)
@@ -110,24 +115,24 @@
         self.errors += weight * ((1.0 if failed else 0.0) - self.errors)
 
     def decay(self, now: float) -> float:
-        """Return the weight of what was measured, 1 while it is fresh."""
-        silence = now - self.last_result_at - STALE_S
-        if silence <= 0:
+        """Return the weight of the results, 1 while they are fresh and decaying afterwards."""
+        silence_s = now - self.last_result_at - STALE_S
+        if silence_s <= 0:
             return 1.0
-        return exp(-LN_2 * silence / RESULT_HALF_LIFE_S)
+        return exp(-LN_2 * silence_s / RESULT_HALF_LIFE_S)
 
     def decayed_errors(self, now: float) -> float:
-        """Return the share of errors, which fades while nothing is heard."""
+        """Return the share of errors, decayed by the time without results."""
         return self.errors * self.decay(now)
 
     def oldest_age(self, now: float) -> float:
-        """Return how long the oldest call in flight has been without a result, seconds."""
+        """Return the age of the oldest call in flight, seconds; 0 if there is none."""
         for sent in self.sent_calls.values():
             return now - sent.at
         return 0.0
 
     def service_s(self, now: float) -> float:
-        """Return the expected time of a call, never below the age of the oldest one in flight."""
+        """Return the expected time of a call, at least the age of the oldest one in flight."""
         known = self.latency_s if self.results else UNKNOWN_SERVICE_S
         if now - self.last_result_at > STALE_S:
             known = max(min(known, UNKNOWN_SERVICE_S), known * self.decay(now))
@@ -136,13 +141,13 @@
         return max(known, self.oldest_age(now))
 
     def decayed_other_calls(self, now: float) -> float:
-        """Return the calls of others that the last report told of, less as it gets older."""
+        """Return the calls of other daemons by the last load report, decayed by its age."""
         if not self.other_calls:
             return 0.0
         return self.other_calls * exp(-LN_2 * (now - self.load_at) / REPORT_HALF_LIFE_S)
 
     def occupancy(self, now: float, trust: float = 1.0) -> float:
-        """Return the calls expected there now: our own, and others as far as trusted."""
+        """Return the expected calls at the upstream: own ones, and others weighted by `trust`."""
         if not self.other_calls:
             return float(self.in_flight)
         return self.in_flight + trust * self.decayed_other_calls(now)
--- a/tests/unit/routing/test_picker.py
+++ b/tests/unit/routing/test_picker.py
@@ -1,4 +1,4 @@
-"""Tests of choosing an upstream: who is left out, and how it comes back."""
+"""Picking an upstream: exclusion, ejection, trials and slow start."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 POLICIES = ["random", "round-robin", "least-in-flight", "two-choices", "hot-cold", "mixed"]
 
 
-class Line:
-    """A picker with upstreams, and calls one after the other."""
+class SequentialCalls:
+    """A picker with upstreams that gets calls one after the other."""
 
     def __init__(self, policy: str = "mixed", names: str = "abc") -> None:
         self.picker = Picker(make_policy(policy, "here"), "here", 0.5, random.Random(1))
@@ -47,65 +47,65 @@
 
 
 @pytest.mark.parametrize("policy", POLICIES)
-def test_a_failing_upstream_soon_gets_almost_nothing(policy: str) -> None:
-    line = Line(policy)
+def test_a_failing_upstream_soon_gets_almost_no_calls(policy: str) -> None:
+    calls = SequentialCalls(policy)
     for _ in range(30):
-        line.call({"b": 0.0001}, failing="b")
-    names = [line.call({"b": 0.0001}, failing="b") for _ in range(300)]
+        calls.call({"b": 0.0001}, failing="b")
+    names = [calls.call({"b": 0.0001}, failing="b") for _ in range(300)]
     assert names.count("b") < 0.05 * 300
 
 
 @pytest.mark.parametrize("policy", POLICIES)
-def test_a_slow_upstream_soon_gets_almost_nothing(policy: str) -> None:
-    line = Line(policy)
+def test_a_slow_upstream_soon_gets_almost_no_calls(policy: str) -> None:
+    calls = SequentialCalls(policy)
     for _ in range(40):
-        line.call({"b": 0.06})
-    names = [line.call({"b": 0.06}) for _ in range(300)]
+        calls.call({"b": 0.06})
+    names = [calls.call({"b": 0.06}) for _ in range(300)]
     assert names.count("b") < 0.06 * 300
 
 
-def test_a_recovered_upstream_comes_back_by_trial() -> None:
-    line = Line()
+def test_a_recovered_upstream_returns_after_trial_calls() -> None:
+    calls = SequentialCalls()
     for _ in range(40):
-        line.call({}, failing="b")
-    line.now += 60.0
-    assert "b" in {line.call({}) for _ in range(200)}
+        calls.call({}, failing="b")
+    calls.now += 60.0
+    assert "b" in {calls.call({}) for _ in range(200)}
 
 
-def test_at_most_a_share_is_ejected() -> None:
-    line = Line(names="abcd")
+def test_the_share_of_ejected_upstreams_is_bounded() -> None:
+    calls = SequentialCalls(names="abcd")
     for _ in range(200):
-        line.call({}, failing="abcd")
-    out = [t for t in line.picker.tracks.values() if t.ejected_until > line.now]
+        calls.call({}, failing="abcd")
+    out = [t for t in calls.picker.tracks.values() if t.ejected_until > calls.now]
     assert len(out) <= 2
 
 
-def test_one_that_hangs_is_seen_before_it_answers() -> None:
-    line = Line(names="ab")
+def test_a_hanging_upstream_is_avoided_before_it_answers() -> None:
+    calls = SequentialCalls(names="ab")
     for _ in range(20):
-        line.call({})
-    line.picker.sent("a", 1000, line.now)
-    line.now += 0.5
-    assert {line.call({}) for _ in range(20)} == {"b"}
+        calls.call({})
+    calls.picker.sent("a", 1000, calls.now)
+    calls.now += 0.5
+    assert {calls.call({}) for _ in range(20)} == {"b"}
 
 
-def test_a_refusal_leaves_an_upstream_out_until_it_may_have_room() -> None:
-    line = Line(names="ab")
-    line.picker.sent("a", 1, line.now)
-    line.picker.refused("a", 1, line.now, 0.2, IDLE)
-    assert {line.call({}) for _ in range(10)} == {"b"}
-    line.now += 1.0
-    assert "a" in {line.call({}) for _ in range(50)}
+def test_an_upstream_is_skipped_for_a_while_after_a_refusal() -> None:
+    calls = SequentialCalls(names="ab")
+    calls.picker.sent("a", 1, calls.now)
+    calls.picker.refused("a", 1, calls.now, 0.2, IDLE)
+    assert {calls.call({}) for _ in range(10)} == {"b"}
+    calls.now += 1.0
+    assert "a" in {calls.call({}) for _ in range(50)}
 
 
-def test_leaving_and_down_get_nothing_and_nobody_left_says_when() -> None:
-    line = Line(names="ab")
+def test_no_choice_while_every_upstream_is_leaving() -> None:
+    calls = SequentialCalls(names="ab")
     for name in "ab":
-        line.picker.reported(name, line.now, {**IDLE, "state": "leaving"})
-    assert isinstance(line.picker.pick(line.now, ()), NoChoice)
+        calls.picker.reported(name, calls.now, {**IDLE, "state": "leaving"})
+    assert isinstance(calls.picker.pick(calls.now, ()), NoChoice)
 
 
-def test_own_data_centre_first_and_the_other_by_load() -> None:
+def test_the_own_data_centre_is_preferred_until_it_is_loaded() -> None:
     picker = Picker(Mixed("here"), "here", 0.5, random.Random(1))
     picker.members([Member("near", "here", 4), Member("far", "there", 4)], 0.0)
     for name in ("near", "far"):
@@ -120,14 +120,14 @@
     assert 2 <= chosen.count("far") <= 6
 
 
-def test_a_new_upstream_ramps_up() -> None:
-    line = Line(names="ab")
-    line.picker.members([Member(name, "here", 40) for name in "abc"], line.now)
-    line.picker.linked("c", line.now, up=True, fresh=True)
+def test_a_new_upstream_goes_through_slow_start() -> None:
+    calls = SequentialCalls(names="ab")
+    calls.picker.members([Member(name, "here", 40) for name in "abc"], calls.now)
+    calls.picker.linked("c", calls.now, up=True, fresh=True)
     sent = 0
     for seq in range(500, 560):
-        choice = line.picker.pick(line.now, ("a", "b"))
+        choice = calls.picker.pick(calls.now, ("a", "b"))
         if isinstance(choice, Choice):
-            line.picker.sent("c", seq, line.now)
+            calls.picker.sent("c", seq, calls.now)
             sent += 1
     assert sent == 1
--- a/tests/unit/routing/test_routes.py
+++ b/tests/unit/routing/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes by host and prefix, and split routes."""
+"""Route lookup by host and prefix, and split routes."""
 
 from __future__ import annotations
 
@@ -47,21 +47,21 @@
     assert routes.find("GET", "/b/", "b.x") is None
 
 
-def test_a_route_says_how_its_calls_are_treated() -> None:
+def test_a_route_sets_the_options_of_its_calls() -> None:
     found = table(("a.x", "/", "one")).find("POST", "/x", "a.x")
     assert found is not None
     assert (found.timeout_s, found.attempts, found.rank, found.objective_s) == (0.5, 2, 1, 0.1)
 
 
 @pytest.mark.parametrize("text", ["a", "a:", "a:-1", ":3", "a:b"])
-def test_what_is_no_split_is_refused(text: str) -> None:
+def test_a_malformed_split_is_refused(text: str) -> None:
     with pytest.raises(ValueError, match="no service with a weight"):
         parse_split(text)
 
 
 @settings(max_examples=100, derandomize=True)
 @given(st.lists(st.integers(1, 99), min_size=2, max_size=4), st.integers(0, 1000))
-def test_even_a_hundred_calls_come_close_to_the_weights(weights: list[int], seed: int) -> None:
+def test_a_hundred_calls_come_close_to_the_weights(weights: list[int], seed: int) -> None:
     parts = tuple(WeightedService(f"s{number}", weight) for number, weight in enumerate(weights))
     split = Split(parts, random.Random(seed))
     drawn = Counter(split.draw() for _ in range(100))
@@ -69,7 +69,7 @@
         assert abs(drawn[part.service] - 100 * part.weight / sum(weights)) <= 4
 
 
-def test_a_part_without_weight_gets_nothing_and_the_others_keep_their_shares() -> None:
+def test_a_service_of_weight_zero_gets_no_calls() -> None:
     split = Split(
         (WeightedService("a", 0), WeightedService("b", 75), WeightedService("c", 25)),
         random.Random(1),
--- a/tests/unit/routing/test_sampling.py
+++ b/tests/unit/routing/test_sampling.py
@@ -1,4 +1,4 @@
-"""When an owner samples the pace of its upstream."""
+"""Scheduling of samples of an upstream's pace."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return None if at is None else at - now
 
 
-def test_an_upstream_that_tells_no_pace_is_not_asked() -> None:
+def test_an_upstream_that_reports_no_pace_is_not_sampled() -> None:
     made = SamplePlan(0.02)
     for number in range(100):
         made.record_call(number / 50)
@@ -40,7 +40,7 @@
     assert made.next_at(2.0) is None
 
 
-def test_more_calls_and_more_changes_and_a_lower_cost_are_reasons_for_more_samples() -> None:
+def test_more_calls_more_changes_and_a_lower_cost_shorten_the_interval() -> None:
     usual = interval(plan(20.0))
     assert usual is not None
     for fewer in (plan(10.0), plan(20.0, flips=False), plan(20.0, cost=0.08)):
@@ -48,12 +48,12 @@
         assert rarer is None or rarer > usual
 
 
-def test_samples_cost_as_much_as_they_save() -> None:
-    """Four times the cost halves their number, above the shortest time between two."""
-    cheap, dear = interval(plan(20.0, cost=0.05)), interval(plan(20.0, cost=0.2))
-    assert cheap is not None
-    assert dear is not None
-    assert dear / cheap == pytest.approx(2.0, rel=0.05)
+def test_the_interval_grows_with_the_square_root_of_the_cost() -> None:
+    """Four times the cost doubles the interval, above the minimum."""
+    low_cost, high_cost = interval(plan(20.0, cost=0.05)), interval(plan(20.0, cost=0.2))
+    assert low_cost is not None
+    assert high_cost is not None
+    assert high_cost / low_cost == pytest.approx(2.0, rel=0.05)
 
 
 def test_without_calls_or_at_a_cost_of_zero_no_samples_are_taken() -> None:
@@ -62,7 +62,7 @@
     assert plan(1.0, cost=1.0).next_at(10.0) is None
 
 
-def test_an_answer_that_tells_the_pace_is_as_good_as_a_sample() -> None:
+def test_an_answer_with_a_pace_postpones_the_next_sample() -> None:
     made = plan(20.0)
     before = made.next_at(10.0)
     made.record_pace(10.01, 100)
@@ -73,7 +73,7 @@
     assert MIN_INTERVAL_S <= after - 10.01 < MAX_INTERVAL_S
 
 
-def test_failed_samples_are_taken_more_and_more_rarely() -> None:
+def test_failed_samples_back_off() -> None:
     made = plan(20.0)
     pauses = []
     for _ in range(12):
@@ -84,7 +84,7 @@
     assert pauses[-1] == pytest.approx(MAX_BACKOFF_S)
 
 
-def test_a_pace_is_another_one_from_half_as_much_again() -> None:
+def test_a_pace_has_changed_at_a_ratio_of_one_and_a_half() -> None:
     assert is_change(100, 150)
     assert is_change(500, 100)
     assert not is_change(100, 149)
--- a/tests/unit/routing/test_times.py
+++ b/tests/unit/routing/test_times.py
@@ -1,4 +1,4 @@
-"""Times by route, and the pace that upstreams tell."""
+"""Mean times by route, and pace estimates."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from foldhoist.routing.times import MIN_RESULTS, PACE_DECAY_S, PaceEstimates, RouteTimes
 
 
-def test_routes_are_brought_to_one_scale() -> None:
+def test_times_are_scaled_to_the_mean_of_the_service() -> None:
     times = RouteTimes()
     for _ in range(200):
         times.update("short", 0.03, 100)
@@ -17,7 +17,7 @@
     assert times.size("long") == pytest.approx(5000)
 
 
-def test_a_route_of_which_little_is_known_counts_as_the_service() -> None:
+def test_a_route_with_few_results_uses_the_mean_of_the_service() -> None:
     times = RouteTimes()
     for _ in range(MIN_RESULTS - 1):
         times.update("new", 1.0)
@@ -25,7 +25,7 @@
     assert times.scale("never") == 1.0
 
 
-def test_a_pace_counts_less_as_it_gets_older() -> None:
+def test_a_pace_decays_with_its_age() -> None:
     paces = PaceEstimates()
     for pace in (100, 100, 100, 400) * 50:
         paces.update(pace)
