--- a/foldhoist/delivery/call.py
+++ b/foldhoist/delivery/call.py
@@ -157,14 +157,14 @@
 
     EXPIRE = 0
     HEDGE = 1
-    UNASKED = 2
-    UNPARK = 3
+    FATE_TIMEOUT = 2
+    PARK_TIMEOUT = 3
 
 
 class Live:
     """An attempt that has no result yet."""
 
-    __slots__ = ("asking", "candidates", "reason", "sent", "seq", "target")
+    __slots__ = ("fate_due", "candidates", "reason", "sent", "seq", "target")
 
     def __init__(self, seq: int, target: str, choice: Choice, now: float) -> None:
         self.seq = seq
@@ -172,7 +172,7 @@
         self.reason = choice.reason
         self.candidates = choice.candidates
         self.sent = now
-        self.asking = 0.0
+        self.fate_due = 0.0
 
 
 class Call:
--- a/foldhoist/delivery/book.py
+++ b/foldhoist/delivery/call_table.py
@@ -11,7 +11,7 @@
     from foldhoist.delivery.call import Call, Live, Timer
 
 
-class CallBook:
+class CallTable:
     """Calls without a final answer, by number, by attempt and by owner; times are seconds."""
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
         """Return the oldest attempt without a result."""
         return next(iter(self.by_seq), otherwise)
 
-    def at(self, target: str) -> list[tuple[Call, Live]]:
+    def attempts_at(self, target: str) -> list[tuple[Call, Live]]:
         """Return the attempts that are at this owner."""
         found: list[tuple[Call, Live]] = []
         for call in self._calls.values():
@@ -61,9 +61,9 @@
                     found.append((call, live))
         return found
 
-    def asking(self, target: str) -> list[tuple[Call, Live]]:
+    def awaiting_fate(self, target: str) -> list[tuple[Call, Live]]:
         """Return the attempts whose fate this owner is to tell."""
-        return [(call, live) for call, live in self.at(target) if live.asking]
+        return [(call, live) for call, live in self.attempts_at(target) if live.fate_due]
 
     def park(self, call: Call) -> None:
         """Let a call wait for a first connection."""
@@ -79,7 +79,7 @@
         self._parked.clear()
         return parked
 
-    def remind(self, at: float, call: Call, kind: Timer) -> None:
+    def schedule(self, at: float, call: Call, kind: Timer) -> None:
         """Have something done with a call at a set time."""
         heappush(self._timers, (at, call.call_id, kind))
 
--- a/foldhoist/delivery/ingress.py
+++ b/foldhoist/delivery/ingress.py
@@ -9,7 +9,6 @@
 from typing import TYPE_CHECKING
 
 from foldhoist.delivery import rules
-from foldhoist.delivery.book import CallBook
 from foldhoist.delivery.call import (
     Action,
     Call,
@@ -23,6 +22,7 @@
     Timer,
     record_of,
 )
+from foldhoist.delivery.call_table import CallTable
 from foldhoist.delivery.door import Door
 from foldhoist.delivery.entrance import UNAUTHORIZED, Entrance, TurnedAway
 from foldhoist.delivery.outgoing import dispatch_of
@@ -42,7 +42,7 @@
     from foldhoist.schema.fleet import Fleet
     from foldhoist.schema.messages import Answer, Credit, Refusal, Report
 
-FATE_S = 1.0
+FATE_TIMEOUT_S = 1.0
 """Longest wait for an owner to say what became of a call, seconds."""
 
 
@@ -63,8 +63,8 @@
         self.count = Counters()
         self._services = Services(data_centre, rng, slack)
         self.entrance = Entrance(self.door, self._services)
-        self._book = CallBook()
-        self.gate = QuotaGate(self._book, self.count, rng)
+        self._calls = CallTable()
+        self.gate = QuotaGate(self._calls, self.count, rng)
         self._linked: dict[str, str] = {}
         self._up: set[str] = set()
 
@@ -100,12 +100,12 @@
     def arrive(self, now: float, call_id: int, req: CallerRequest) -> list[Action]:
         """Take in a request of a caller."""
         self.count.calls += 1
-        entry = self.entrance.enter(now, call_id, req, len(self._book))
+        entry = self.entrance.enter(now, call_id, req, len(self._calls))
         if isinstance(entry, TurnedAway):
             return [self._turn_away(now, entry)]
         call = entry.call
-        self._book.add(call)
-        self._book.remind(call.deadline, call, Timer.EXPIRE)
+        self._calls.add(call)
+        self._calls.schedule(call.deadline, call, Timer.EXPIRE)
         return self._pass(now, self.gate.enter(now, call))
 
     def credited(self, now: float, message: Credit) -> list[Action]:
@@ -168,14 +168,14 @@
     def link_lost(self, now: float, target: str) -> list[Action]:
         """Take in that a connection to an owner fell."""
         actions = self.link_closing(now, target)
-        for call, live in self._book.at(target):
-            if live.asking:
+        for call, live in self._calls.attempts_at(target):
+            if live.fate_due:
                 continue
             if call.repeatable and not call.req.key:
                 actions += self._lose(now, call, live, "owner-connection-lost")
                 continue
-            live.asking = now + FATE_S
-            self._book.remind(min(live.asking, call.deadline), call, Timer.UNASKED)
+            live.fate_due = now + FATE_TIMEOUT_S
+            self._calls.schedule(min(live.fate_due, call.deadline), call, Timer.FATE_TIMEOUT)
         return actions
 
     def link_refused(self, now: float, target: str) -> list[Action]:
@@ -184,7 +184,7 @@
 
     def caller_gone(self, now: float, call_id: int) -> list[Action]:
         """Take in that a caller has closed its connection: nobody waits for the call."""
-        call = self._book.remove(call_id)
+        call = self._calls.remove(call_id)
         if call is None:
             return []
         self.count.gone += 1
@@ -194,7 +194,7 @@
     def tick(self, now: float) -> list[Action]:
         """Give the final answer to calls whose time is up, and send hedges."""
         actions = self._pass(now, self.gate.tick(now))
-        for call, kind in self._book.due(now):
+        for call, kind in self._calls.due(now):
             actions += self._on_timer(now, call, kind)
         return actions
 
@@ -202,17 +202,17 @@
 
     def next_at(self) -> float | None:
         """Return when `tick` has something to do, monotonic seconds."""
-        times = [at for at in (self._book.next_at(), self.gate.next_at()) if at is not None]
+        times = [at for at in (self._calls.next_at(), self.gate.next_at()) if at is not None]
         return min(times, default=None)
 
     @property
     def calls(self) -> int:
         """Return the calls without a final answer."""
-        return len(self._book)
+        return len(self._calls)
 
     def is_busy(self, target: str) -> bool:
         """Return whether a call is under way at an owner."""
-        return bool(self._book.at(target))
+        return bool(self._calls.attempts_at(target))
 
     def pickers(self) -> dict[str, Picker]:
         """Return the picker of each service."""
@@ -222,7 +222,7 @@
 
     def _end_attempt(self, seq: int) -> tuple[Call, Live, Picker | None] | None:
         """Return the call and the attempt that a result is for, or None if it comes too late."""
-        call = self._book.by_seq.pop(seq, None)
+        call = self._calls.by_seq.pop(seq, None)
         if call is None:
             self.count.late += 1
             return None
@@ -235,9 +235,9 @@
         match kind:
             case Timer.HEDGE:
                 return self._hedge(now, call)
-            case Timer.UNASKED:
+            case Timer.FATE_TIMEOUT:
                 return self._end_unasked(now, call)
-            case Timer.UNPARK if self._book.unpark(call.call_id):
+            case Timer.PARK_TIMEOUT if self._calls.unpark(call.call_id):
                 return self._give_up(now, call, NO_CONNECTION, 1.0)
         return []
 
@@ -248,14 +248,14 @@
         wait_s = rules.park_s(now, call, state)
         if not wait_s:
             return self._give_up(now, call, NO_CONNECTION, 1.0)
-        self._book.park(call)
-        self._book.remind(now + wait_s, call, Timer.UNPARK)
+        self._calls.park(call)
+        self._calls.schedule(now + wait_s, call, Timer.PARK_TIMEOUT)
         return [Connect(rules.owners_for(call, state))]
 
     def _unpark(self, now: float) -> list[Action]:
         actions: list[Action] = []
-        for call in self._book.unpark_all():
-            if call.call_id in self._book:
+        for call in self._calls.unpark_all():
+            if call.call_id in self._calls:
                 actions += self._attempt(now, call)
         return actions
 
@@ -287,7 +287,7 @@
         state.budget.call(now, call.req.repeat)
         actions = self._attempt(now, call)
         if hedge_s := rules.hedge_after_s(call, state):
-            self._book.remind(now + hedge_s, call, Timer.HEDGE)
+            self._calls.schedule(now + hedge_s, call, Timer.HEDGE)
         return actions
 
     def _attempt(self, now: float, call: Call, first_reason: str = "") -> list[Action]:
@@ -299,15 +299,15 @@
             return self._give_up(now, call, first_reason or pick.reason, pick.retry_after_s)
         if call.deadline - now < rules.LEAST_BUDGET_S:
             return self._give_up(now, call, "deadline-passed", 0.0)
-        seq = self._book.next_seq()
+        seq = self._calls.next_seq()
         call.tries += 1
         call.arrivals += 1
         call.excluded.add(pick.name)
         call.live[seq] = Live(seq, pick.name, pick, now)
-        self._book.by_seq[seq] = call
+        self._calls.by_seq[seq] = call
         if state is not None:
             state.picker.sent(pick.name, seq, now)
-        acked = self._book.oldest_seq(seq)
+        acked = self._calls.oldest_seq(seq)
         expected_s = state.picker.times.mean(call.route) if state is not None else 0.0
         message = dispatch_of(now, call, seq, acked, self.generation, expected_s)
         return [SendTo(pick.name, Outgoing("Dispatch", message))]
@@ -343,7 +343,7 @@
         return self._finish(now, call, rules.last_verdict(call, not_run))
 
     def _finish(self, now: float, call: Call, verdict: Verdict) -> list[Action]:
-        if self._book.remove(call.call_id) is None:
+        if self._calls.remove(call.call_id) is None:
             return []
         for live in call.live.values():
             call.note(now, live, "withdrawn", 0, 0)
@@ -356,7 +356,7 @@
         actions: list[Action] = []
         state = self._services.get(call.service)
         for seq, live in call.live.items():
-            self._book.by_seq.pop(seq, None)
+            self._calls.by_seq.pop(seq, None)
             if state is not None:
                 state.picker.abandoned(live.target, seq, now)
             actions.append(SendTo(live.target, Outgoing("Withdraw", {"seq": seq})))
@@ -364,7 +364,7 @@
         return actions
 
     def _ask_fate(self, now: float, target: str, fresh: bool) -> list[Action]:
-        asked = self._book.asking(target)
+        asked = self._calls.awaiting_fate(target)
         if not asked:
             return []
         if fresh:
@@ -375,20 +375,20 @@
 
     def _end_asking(self, now: float, target: str, reason: str) -> list[Action]:
         actions: list[Action] = []
-        for call, live in self._book.asking(target):
+        for call, live in self._calls.awaiting_fate(target):
             actions += self._lose(now, call, live, reason)
         return actions
 
     def _end_unasked(self, now: float, call: Call) -> list[Action]:
         actions: list[Action] = []
         for live in list(call.live.values()):
-            if live.asking and now >= live.asking:
+            if live.fate_due and now >= live.fate_due:
                 actions += self._lose(now, call, live, "owner-unreachable")
         return actions
 
     def _lose(self, now: float, call: Call, live: Live, reason: str) -> list[Action]:
         call.live.pop(live.seq, None)
-        self._book.by_seq.pop(live.seq, None)
+        self._calls.by_seq.pop(live.seq, None)
         state = self._services.get(call.service)
         if state is not None:
             state.picker.lost(live.target, live.seq, now)
--- a/foldhoist/delivery/quota_gate.py
+++ b/foldhoist/delivery/quota_gate.py
@@ -13,8 +13,8 @@
 
     from foldhoist.customers.credit import Step
     from foldhoist.customers.directory import Directory
-    from foldhoist.delivery.book import CallBook
     from foldhoist.delivery.call import Call, Counters
+    from foldhoist.delivery.call_table import CallTable
     from foldhoist.schema.messages import Credit
 
 TOO_MANY = 429
@@ -42,9 +42,9 @@
 class QuotaGate:
     """Calls that wait for credit, and what becomes of it; times are monotonic seconds."""
 
-    def __init__(self, book: CallBook, count: Counters, rng: Random) -> None:
+    def __init__(self, calls: CallTable, count: Counters, rng: Random) -> None:
         self.credits = CreditBook(rng)
-        self._book = book
+        self._calls = calls
         self._count = count
 
     def adopt(self, now: float, directory: Directory) -> list[Passed]:
@@ -91,12 +91,12 @@
                 case Ask(keeper, message):
                     passed.append(SendTo(keeper, Outgoing("CreditAsk", message)))
                 case Granted(call_id, scarce):
-                    call = self._book.get(call_id)
+                    call = self._calls.get(call_id)
                     if call is not None:
                         call.scarce = scarce
                         passed.append(Begin(call))
                 case Denied(call_id, reason, again_s):
-                    call = self._book.get(call_id)
+                    call = self._calls.get(call_id)
                     if call is not None:
                         passed.append(Refuse(call, self._verdict(reason, again_s)))
         return passed
