--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -175,7 +175,7 @@
         self.cfg = found.cfg
         limits = found.cfg["limits"]
         self.shared.adopt(limits)
-        self.ingress_task.ingress.door.most_calls = limits["calls"]
+        self.ingress_task.ingress.admission.max_calls = limits["calls"]
         self._bodies.most = limits["held_bytes"]
 
     async def stop(self) -> None:
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -149,7 +149,7 @@
         limits, platform = found.cfg["limits"], found.cfg["platform"]
         self.adapter.reload(found.cfg)
         self.events.share = found.cfg["observe"]["log_share"]
-        self.ingress_task.ingress.door.most_calls = limits["calls"]
+        self.ingress_task.ingress.admission.max_calls = limits["calls"]
         self._bodies.most = limits["held_bytes"]
         self._slack.attempts = platform["retry_slack"]
         self._slack.window_s = platform["retry_window_s"]
--- a/foldhoist/daemon/stopping.py
+++ b/foldhoist/daemon/stopping.py
@@ -41,7 +41,7 @@
         limit = began + daemon.cfg["limits"]["drain_ms"] / 1000
         await self._wait_until(lambda: False, began + SERVE_S)
         daemon.shared.closing = True
-        daemon.ingress_task.ingress.door.stop(limit)
+        daemon.ingress_task.ingress.admission.begin_shutdown(limit)
         await self._wait_until(lambda: not daemon.shared.open, began + CLOSE_S)
         daemon.owner_task.leave("drain")
         daemon.close_door()
--- a/foldhoist/delivery/entrance.py
+++ b/foldhoist/delivery/entrance.py
@@ -13,8 +13,8 @@
 
 if TYPE_CHECKING:
     from foldhoist.customers.directory import Customer
+    from foldhoist.delivery.admission_checks import AdmissionChecks
     from foldhoist.delivery.call import CallerRequest
-    from foldhoist.delivery.door import Door
     from foldhoist.delivery.services import Services
     from foldhoist.schema.fleet import Fleet
 
@@ -43,22 +43,22 @@
 class Entrance:
     """Makes calls of requests by the configuration in force; times are monotonic seconds."""
 
-    def __init__(self, door: Door, services: Services) -> None:
+    def __init__(self, admission: AdmissionChecks, services: Services) -> None:
         self.customers = Directory()
-        self._door = door
+        self._admission = admission
         self._services = services
         self._routes: RouteTable | None = None
 
     def adopt(self, fleet: Fleet) -> None:
         """Take over a configuration."""
-        self._door.hops = fleet["fleet"]["hops"]
+        self._admission.max_hops = fleet["fleet"]["hops"]
         self._routes = RouteTable(fleet)
         self.customers = Directory(fleet)
 
     def enter(self, now: float, call_id: int, req: CallerRequest, calls: int) -> Entry:
         """Return the call of a request; `calls` have no final answer yet."""
         routed = self._route(req)
-        refused = self._door.refusal(req, self._routes, routed, calls)
+        refused = self._admission.refusal(req, self._routes, routed, calls)
         if refused is not None or routed is None:
             verdict = refused or NotRun("no-configuration", 1.0)
             return _turned_away(now, call_id, req, routed, verdict)
@@ -78,12 +78,12 @@
             verdict = NotRun("service-removed", 1.0)
             return _turned_away(now, call_id, req, routed, verdict)
         budget = rules.budget_s(req, routed, state)
-        if self._door.ends_too_late(now, state.picker.times.mean(routed.route), budget):
+        if self._admission.may_outlast_process(now, state.picker.times.mean(routed.route), budget):
             verdict = NotRun("daemon-leaving", 0.0)
             return _turned_away(now, call_id, req, routed, verdict)
         call = Call(call_id, req, routed, now, now + budget, who.customer)
-        if held_s := self._door.held_s(now, call):
-            return _turned_away(now, call_id, req, routed, NotRun(HELD, held_s))
+        if quarantined_s := self._admission.quarantined_s(now, call):
+            return _turned_away(now, call_id, req, routed, NotRun(HELD, quarantined_s))
         return Entered(call)
 
     def _route(self, req: CallerRequest) -> Routed | None:
--- a/foldhoist/delivery/ingress.py
+++ b/foldhoist/delivery/ingress.py
@@ -9,6 +9,7 @@
 from typing import TYPE_CHECKING
 
 from foldhoist.delivery import rules
+from foldhoist.delivery.admission_checks import AdmissionChecks
 from foldhoist.delivery.call import (
     Action,
     Call,
@@ -23,7 +24,6 @@
     record_of,
 )
 from foldhoist.delivery.call_table import CallTable
-from foldhoist.delivery.door import Door
 from foldhoist.delivery.entrance import UNAUTHORIZED, Entrance, TurnedAway
 from foldhoist.delivery.outgoing import dispatch_of
 from foldhoist.delivery.quota_gate import Begin, QuotaGate, Refuse
@@ -52,17 +52,17 @@
     def __init__(
         self,
         data_centre: str,
-        most_calls: int,
+        max_calls: int,
         rng: Random,
         slack: RetrySlack | None = None,
         quarantine: Quarantine | None = None,
     ) -> None:
-        self.door = Door(most_calls, quarantine)
+        self.admission = AdmissionChecks(max_calls, quarantine)
         self.generation = 0
         self.explain = True
         self.count = Counters()
         self._services = Services(data_centre, rng, slack)
-        self.entrance = Entrance(self.door, self._services)
+        self.entrance = Entrance(self.admission, self._services)
         self._calls = CallTable()
         self.gate = QuotaGate(self._calls, self.count, rng)
         self._linked: dict[str, str] = {}
@@ -315,8 +315,8 @@
     def _go_on(self, now: float, call: Call, reason: str, retry_after_s: float) -> list[Action]:
         if call.live:
             return []
-        if held_s := self.door.held_s(now, call):
-            return self._give_up(now, call, HELD, held_s)
+        if quarantined_s := self.admission.quarantined_s(now, call):
+            return self._give_up(now, call, HELD, quarantined_s)
         if not rules.may_retry(now, call, self._services.get(call.service), self.count):
             return self._give_up(now, call, reason, retry_after_s)
         self.count.retried += 1
@@ -324,7 +324,7 @@
 
     def _hedge(self, now: float, call: Call) -> list[Action]:
         # Under a call that ends upstreams a hedge would end a second one at once.
-        if len(call.live) != 1 or self.door.is_suspect(call):
+        if len(call.live) != 1 or self.admission.is_suspect(call):
             return []
         if not rules.may_retry(now, call, self._services.get(call.service), self.count):
             return []
--- a/tests/adapter/test_reload.py
+++ b/tests/adapter/test_reload.py
@@ -34,7 +34,7 @@
     assert budget is not None
     before = budget.budget.cap
     daemon.reload(cfg)
-    assert daemon.ingress_task.ingress.door.most_calls == 7
+    assert daemon.ingress_task.ingress.admission.max_calls == 7
     assert daemon.cfg["limits"]["drain_ms"] == 9
     assert daemon.events.share == 0.5
     assert budget.budget.cap > 100 * before
--- a/tests/adapter/test_stopping.py
+++ b/tests/adapter/test_stopping.py
@@ -72,7 +72,7 @@
     for number in range(5):
         assert (await cluster.ask("a", method="POST", body=b"x", attempt=f"{number:x}")).status
     ran = len(cluster.targets["b"].ran)
-    daemon.ingress_task.ingress.door.stop(asyncio.get_running_loop().time())
+    daemon.ingress_task.ingress.admission.begin_shutdown(asyncio.get_running_loop().time())
     answer = await cluster.ask("a", method="POST", body=b"x")
     assert (answer.status, answer.body) == (503, b"not run: daemon-leaving\n")
     assert len(cluster.targets["b"].ran) == ran
