--- a/foldhoist/daemon/quota_task.py
+++ b/foldhoist/daemon/quota_task.py
@@ -51,7 +51,7 @@
 
     def adopt(self) -> None:
         """Take over the customers of the configuration that the ingress has in force."""
-        customers = self._ingress_task.ingress.entrance.customers
+        customers = self._ingress_task.ingress.intake.customers
         self.keeper.adopt(self._loop.time(), customers)
         if customers.any_limited and self._task is None:
             logger.info("quotas are kept: {} customers", len(list(customers.customers())))
@@ -79,7 +79,7 @@
 
     def status(self) -> list[dict[str, Any]]:
         """Return how much is left of the quotas that are kept here, the most used up first."""
-        customers = self._ingress_task.ingress.entrance.customers
+        customers = self._ingress_task.ingress.intake.customers
         rows: list[dict[str, Any]] = []
         for name, left in self.keeper.levels().items():
             customer = customers.named(name)
--- a/foldhoist/delivery/call.py
+++ b/foldhoist/delivery/call.py
@@ -164,7 +164,7 @@
 class Live:
     """An attempt that has no result yet."""
 
-    __slots__ = ("fate_due", "candidates", "reason", "sent", "seq", "target")
+    __slots__ = ("candidates", "fate_due", "reason", "sent", "seq", "target")
 
     def __init__(self, seq: int, target: str, choice: Choice, now: float) -> None:
         self.seq = seq
--- a/foldhoist/delivery/ingress.py
+++ b/foldhoist/delivery/ingress.py
@@ -24,9 +24,9 @@
     record_of,
 )
 from foldhoist.delivery.call_table import CallTable
-from foldhoist.delivery.entrance import UNAUTHORIZED, Entrance, TurnedAway
 from foldhoist.delivery.outgoing import dispatch_of
 from foldhoist.delivery.quota_gate import Begin, QuotaGate, Refuse
+from foldhoist.delivery.request_intake import UNAUTHORIZED, RejectedRequest, RequestIntake
 from foldhoist.delivery.services import RetrySlack, Services
 from foldhoist.delivery.verdict import Answered, MayHaveRun, NotRun, Response, Verdict
 from foldhoist.quarantine.table import HELD
@@ -62,7 +62,7 @@
         self.explain = True
         self.count = Counters()
         self._services = Services(data_centre, rng, slack)
-        self.entrance = Entrance(self.admission, self._services)
+        self.intake = RequestIntake(self.admission, self._services)
         self._calls = CallTable()
         self.gate = QuotaGate(self._calls, self.count, rng)
         self._linked: dict[str, str] = {}
@@ -81,9 +81,9 @@
     ) -> list[Action]:
         """Take over a configuration; what is known of upstreams that stay is kept."""
         self.generation = generation
-        self.entrance.adopt(fleet)
+        self.intake.adopt(fleet)
         self._services.adopt(fleet, homes)
-        passed = self.gate.adopt(now, self.entrance.customers)
+        passed = self.gate.adopt(now, self.intake.customers)
         return [*self.track(now, tracked, daemons), *self._pass(now, passed)]
 
     def track(
@@ -100,9 +100,9 @@
     def arrive(self, now: float, call_id: int, req: CallerRequest) -> list[Action]:
         """Take in a request of a caller."""
         self.count.calls += 1
-        entry = self.entrance.enter(now, call_id, req, len(self._calls))
-        if isinstance(entry, TurnedAway):
-            return [self._turn_away(now, entry)]
+        entry = self.intake.process(now, call_id, req, len(self._calls))
+        if isinstance(entry, RejectedRequest):
+            return [self._reject(now, entry)]
         call = entry.call
         self._calls.add(call)
         self._calls.schedule(call.deadline, call, Timer.EXPIRE)
@@ -259,7 +259,7 @@
                 actions += self._attempt(now, call)
         return actions
 
-    def _turn_away(self, now: float, entry: TurnedAway) -> Reply:
+    def _reject(self, now: float, entry: RejectedRequest) -> Reply:
         call, verdict = entry
         self.count.not_run += 1
         self.count.unidentified += verdict.status == UNAUTHORIZED
--- a/foldhoist/delivery/entrance.py
+++ b/foldhoist/delivery/request_intake.py
@@ -24,23 +24,23 @@
 """Ranks of routes that are told apart within one rank of customers."""
 
 
-class Entered(NamedTuple):
+class AcceptedRequest(NamedTuple):
     """A call that may be attempted."""
 
     call: Call
 
 
-class TurnedAway(NamedTuple):
+class RejectedRequest(NamedTuple):
     """A call that gets no attempt, and why."""
 
     call: Call
     verdict: NotRun
 
 
-Entry: TypeAlias = Entered | TurnedAway
+IntakeResult: TypeAlias = AcceptedRequest | RejectedRequest
 
 
-class Entrance:
+class RequestIntake:
     """Makes calls of requests by the configuration in force; times are monotonic seconds."""
 
     def __init__(self, admission: AdmissionChecks, services: Services) -> None:
@@ -55,36 +55,38 @@
         self._routes = RouteTable(fleet)
         self.customers = Directory(fleet)
 
-    def enter(self, now: float, call_id: int, req: CallerRequest, calls: int) -> Entry:
+    def process(self, now: float, call_id: int, req: CallerRequest, calls: int) -> IntakeResult:
         """Return the call of a request; `calls` have no final answer yet."""
         routed = self._route(req)
         refused = self._admission.refusal(req, self._routes, routed, calls)
         if refused is not None or routed is None:
             verdict = refused or NotRun("no-configuration", 1.0)
-            return _turned_away(now, call_id, req, routed, verdict)
+            return _rejected(now, call_id, req, routed, verdict)
         who = self.customers.identify(req.api_key, is_open=routed.open)
         if not isinstance(who, Identified):
             verdict = NotRun(who.reason, 0.0, status=UNAUTHORIZED)
-            return _turned_away(now, call_id, req, routed, verdict)
-        return self._enter(now, call_id, self._told(req), _ranked(routed, who.customer), who)
+            return _rejected(now, call_id, req, routed, verdict)
+        return self._accept(
+            now, call_id, self._visible_request(req), _with_customer_rank(routed, who.customer), who
+        )
 
     # Steps
 
-    def _enter(
+    def _accept(
         self, now: float, call_id: int, req: CallerRequest, routed: Routed, who: Identified
-    ) -> Entry:
+    ) -> IntakeResult:
         state = self._services.get(routed.service)
         if state is None:
             verdict = NotRun("service-removed", 1.0)
-            return _turned_away(now, call_id, req, routed, verdict)
+            return _rejected(now, call_id, req, routed, verdict)
         budget = rules.budget_s(req, routed, state)
         if self._admission.may_outlast_process(now, state.picker.times.mean(routed.route), budget):
             verdict = NotRun("daemon-leaving", 0.0)
-            return _turned_away(now, call_id, req, routed, verdict)
+            return _rejected(now, call_id, req, routed, verdict)
         call = Call(call_id, req, routed, now, now + budget, who.customer)
         if quarantined_s := self._admission.quarantined_s(now, call):
-            return _turned_away(now, call_id, req, routed, NotRun(HELD, quarantined_s))
-        return Entered(call)
+            return _rejected(now, call_id, req, routed, NotRun(HELD, quarantined_s))
+        return AcceptedRequest(call)
 
     def _route(self, req: CallerRequest) -> Routed | None:
         """Return the call's route with the service drawn for it, or None if there is none."""
@@ -95,7 +97,7 @@
             return routed
         return routed._replace(service=self._services.draw(routed))
 
-    def _told(self, req: CallerRequest) -> CallerRequest:
+    def _visible_request(self, req: CallerRequest) -> CallerRequest:
         """Return the request as upstreams may see it.
 
         What tells whose call it is stays here where there are customers, and travels with the
@@ -106,7 +108,7 @@
         return req._replace(headers=[*req.headers, *req.withheld], withheld=())
 
 
-def _ranked(routed: Routed, customer: Customer | None) -> Routed:
+def _with_customer_rank(routed: Routed, customer: Customer | None) -> Routed:
     """Return the route with the customer's rank, which goes first; the route's decides within."""
     if customer is None or customer.rank == NO_RANK:
         return routed
@@ -114,8 +116,8 @@
     return routed._replace(rank=customer.rank * ROUTE_RANKS + within)
 
 
-def _turned_away(
+def _rejected(
     now: float, call_id: int, req: CallerRequest, routed: Routed | None, verdict: NotRun
-) -> TurnedAway:
+) -> RejectedRequest:
     routed = routed or Routed("", repeatable=False, urgent=False)
-    return TurnedAway(Call(call_id, req._replace(withheld=()), routed, now, now), verdict)
+    return RejectedRequest(Call(call_id, req._replace(withheld=()), routed, now, now), verdict)
--- a/tests/unit/delivery/test_quota_gate.py
+++ b/tests/unit/delivery/test_quota_gate.py
@@ -20,7 +20,7 @@
     ingress = make()
     fleet, faults = parse_fleet(fleet_text(3) + CUSTOMER, "x")
     assert not faults
-    ingress.entrance.adopt(fleet)
+    ingress.intake.adopt(fleet)
     ingress.gate.credits.place([*fleet["targets"], "me"])
     return ingress
 
