--- a/bench/world.py
+++ b/bench/world.py
@@ -18,7 +18,7 @@
 from foldhoist.config.fleet import parse_fleet
 from foldhoist.delivery.call import CallerRequest, Connect, Reply, SendTo
 from foldhoist.delivery.codec import SCHEMA_VERSION
-from foldhoist.delivery.dispatch import CancelCall, StartCall, Whole
+from foldhoist.delivery.dispatch import CancelCall, Complete, StartCall
 from foldhoist.delivery.dispatch import SendTo as OwnerSendTo
 from foldhoist.delivery.ingress import Ingress
 from foldhoist.delivery.owner import Owner
@@ -275,7 +275,7 @@
 
         def done() -> None:
             owner = self.owners[target]
-            whole = Whole(status, [], b"")
+            whole = Complete(status, [], b"")
             self.carry_owner(target, owner.finished(self.env.now, ticket, whole))
 
         self.after(upstream.duration(self.env.now), done)
--- a/foldhoist/daemon/dialect.py
+++ b/foldhoist/daemon/dialect.py
@@ -25,7 +25,7 @@
     HeadRules,
 )
 from foldhoist.daemon.request import BadRequest, read_request
-from foldhoist.delivery.dispatch import Result, Sample, Shed, StartCall, Whole
+from foldhoist.delivery.dispatch import Complete, Result, Sample, Shed, StartCall
 from foldhoist.delivery.verdict import Answered, Headers, MayHaveRun, NotRun, Verdict, verdict_name
 
 if TYPE_CHECKING:
@@ -120,7 +120,7 @@
         """Return what a whole answer means; every answer belongs to the call in hand."""
         if status == 503 and NOT_RUN in head.said:
             return Shed(_retry_after(head.said))
-        return Whole(status, head.passed_on(), body)
+        return Complete(status, head.passed_on(), body)
 
     def sample_headers(self, instance: str, address: bytes) -> Headers:
         """Return the headers of a question to the health path."""
--- a/foldhoist/daemon/lost_calls.py
+++ b/foldhoist/daemon/lost_calls.py
@@ -9,7 +9,7 @@
     from collections.abc import Callable
 
     from foldhoist.daemon.upstream import UpstreamPool
-    from foldhoist.delivery.dispatch import Broken
+    from foldhoist.delivery.dispatch import Incomplete
 
 GATHER_S = 0.002
 """Wait after a connection was lost until the upstream is asked for, seconds.
@@ -22,7 +22,7 @@
     """A call that was sent, and how its connection ended."""
 
     ticket: int
-    result: Broken
+    result: Incomplete
 
 
 class LostCalls:
@@ -40,7 +40,7 @@
         self._lost: list[LostCall] = []
         self._task: asyncio.Task[None] | None = None
 
-    def add(self, ticket: int, result: Broken) -> None:
+    def add(self, ticket: int, result: Incomplete) -> None:
         """Take in a call whose connection ended before its answer was whole."""
         self._lost.append(LostCall(ticket, result))
         if self._task is None:
--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -14,14 +14,14 @@
 from foldhoist.daemon.upstream import CONNECTION_LOST, UpstreamPool
 from foldhoist.delivery.codec import HEADROOM, SCHEMA_VERSION
 from foldhoist.delivery.dispatch import (
-    Broken,
     CancelCall,
     CloseLink,
+    Complete,
     Hold,
+    Incomplete,
     SendTo,
     Spread,
     StartCall,
-    Whole,
 )
 from foldhoist.delivery.endings import LOCAL_LINK
 from foldhoist.delivery.standing import EVACUATED
@@ -280,7 +280,7 @@
 
     def _result(self, ticket: int, result: Result) -> None:
         match result:
-            case Broken(True, reason) if reason == CONNECTION_LOST:
+            case Incomplete(True, reason) if reason == CONNECTION_LOST:
                 self._lost_calls.add(ticket, result)
             case _:
                 self._take_result(ticket, result)
@@ -299,7 +299,7 @@
     def _take_result(self, ticket: int, result: Result) -> None:
         now = self._loop.time()
         hop = self.owner.ended(now, ticket, result)
-        if isinstance(result, Whole):
+        if isinstance(result, Complete):
             self.sampler.heard(result.pace)
         self.owner.standing.watched = self.sampler.watching
         if _is_away(result):
@@ -396,4 +396,4 @@
 
 
 def _is_away(result: Result) -> bool:
-    return isinstance(result, Broken) and not result.sent and result.reason == AWAY
+    return isinstance(result, Incomplete) and not result.sent and result.reason == AWAY
--- a/foldhoist/daemon/upstream.py
+++ b/foldhoist/daemon/upstream.py
@@ -10,7 +10,7 @@
 
 from foldhoist.daemon.dialect import OwnDialect
 from foldhoist.daemon.http import HeadReader, write_head
-from foldhoist.delivery.dispatch import Broken, Result, StartCall, Whole
+from foldhoist.delivery.dispatch import Complete, Incomplete, Result, StartCall
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -85,7 +85,7 @@
         self._clean = False
         if self._transport is not None:
             self._transport.abort()
-        self._finish(Broken(self._sent, reason))
+        self._finish(Incomplete(self._sent, reason))
 
     def connection_lost(self, exc: Exception | None) -> None:
         """End the call on it: broken, unless its answer runs until the end of the connection."""
@@ -96,7 +96,7 @@
             if result is not None:
                 self._finish(result)
                 return
-        self._finish(Broken(self._sent, CONNECTION_LOST))
+        self._finish(Incomplete(self._sent, CONNECTION_LOST))
 
     def data_received(self, data: bytes) -> None:
         """Parse; bytes that nobody asked for spoil the connection."""
@@ -147,7 +147,7 @@
             self._clean = False
             self._spoiled = True
             self._complete = True
-            self._result = self._judge() or Broken(True, "answer-to-another-call")
+            self._result = self._judge() or Incomplete(True, "answer-to-another-call")
 
     def on_body(self, body: bytes) -> None:
         """Take in a piece of the body."""
@@ -194,7 +194,7 @@
         assert self._call is not None
         body = b"".join(self._body)
         result = self._dialect.result(self._status, self.head, body, self._call)
-        if isinstance(result, Broken):
+        if isinstance(result, Incomplete):
             self._spoiled = True
         return result
 
@@ -254,7 +254,7 @@
                 return
             conn.abort("idle")
         if self.open >= self.most:
-            self._on_result(call.ticket, Broken(False, "upstream-connections-used-up"))
+            self._on_result(call.ticket, Incomplete(False, "upstream-connections-used-up"))
             return
         task = asyncio.get_running_loop().create_task(self._connect(call, data))
         self._connecting[call.ticket] = task
@@ -264,7 +264,7 @@
         task = self._connecting.pop(ticket, None)
         if task is not None:
             task.cancel()
-            self._on_result(ticket, Broken(False, reason))
+            self._on_result(ticket, Incomplete(False, reason))
             return
         conn = self._busy.get(ticket)
         if conn is not None:
@@ -308,7 +308,7 @@
             conn = await self._open()
         except (OSError, TimeoutError):
             self._connecting.pop(ticket, None)
-            self._on_result(ticket, Broken(False, "upstream-unreachable"))
+            self._on_result(ticket, Incomplete(False, "upstream-unreachable"))
             return
         self._connecting.pop(ticket, None)
         self._busy[ticket] = conn
@@ -319,9 +319,9 @@
         if conn.usable:
             conn.idle_since = asyncio.get_running_loop().time()
             self._idle.append(conn)
-        elif not isinstance(result, Broken):
+        elif not isinstance(result, Incomplete):
             conn.abort("not-reusable")
-        if isinstance(result, Whole) and self.dialect.leaves(conn.head):
+        if isinstance(result, Complete) and self.dialect.leaves(conn.head):
             self._on_leaving()
         self._on_result(conn.ticket, result)
 
--- a/foldhoist/delivery/dispatch.py
+++ b/foldhoist/delivery/dispatch.py
@@ -69,7 +69,7 @@
 Action: TypeAlias = SendTo | CloseLink | StartCall | CancelCall | Spread | Hold
 
 
-class Whole(NamedTuple):
+class Complete(NamedTuple):
     """The upstream's whole answer; `pace` is how long work takes there in percent, 0 if unsaid."""
 
     status: int
@@ -99,14 +99,14 @@
     """Another life of an upstream answers at the address, and says that it did not run the call."""
 
 
-class Broken(NamedTuple):
+class Incomplete(NamedTuple):
     """No whole answer; `sent` tells whether any byte of the call may have reached the upstream."""
 
     sent: bool
     reason: str
 
 
-Result: TypeAlias = Whole | Shed | Replaced | Broken
+Result: TypeAlias = Complete | Shed | Replaced | Incomplete
 
 
 class Ended(NamedTuple):
--- a/foldhoist/delivery/endings.py
+++ b/foldhoist/delivery/endings.py
@@ -12,7 +12,7 @@
 from foldhoist.delivery.verdict import Response
 
 if TYPE_CHECKING:
-    from foldhoist.delivery.dispatch import Action, Counters, Peer, Ticket, Whole
+    from foldhoist.delivery.dispatch import Action, Complete, Counters, Peer, Ticket
     from foldhoist.delivery.keys import KeyTable
     from foldhoist.delivery.peers import Peers
     from foldhoist.delivery.telling import Telling
@@ -37,11 +37,13 @@
         self._telling = telling
         self._count = count
 
-    def answered(self, now: float, ticket_id: int, whole: Whole, served_s: float) -> list[Action]:
+    def answered(
+        self, now: float, ticket_id: int, answer: Complete, served_s: float
+    ) -> list[Action]:
         """End a call that the upstream has answered; `served_s` is its time there, seconds."""
         ticket = self._tickets.pop(ticket_id)
         self._count.answered += 1
-        response = Response(whole.status, whole.headers, whole.body)
+        response = Response(answer.status, answer.headers, answer.body)
         times_us = (int((ticket.started - ticket.arrived) * 1e6), int(served_s * 1e6))
         load = self._telling.load()
         actions: list[Action] = []
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -16,12 +16,13 @@
 from foldhoist.delivery.claims import Claims
 from foldhoist.delivery.dispatch import (
     Action,
-    Broken,
     CancelCall,
     CloseLink,
+    Complete,
     Counters,
     Ended,
     Frame,
+    Incomplete,
     Peer,
     Replaced,
     Result,
@@ -29,7 +30,6 @@
     Shed,
     StartCall,
     Ticket,
-    Whole,
 )
 from foldhoist.delivery.endings import Endings
 from foldhoist.delivery.holding import Holding
@@ -167,7 +167,7 @@
             return []
         served = now - ticket.started
         match result:
-            case Whole():
+            case Complete():
                 self.standing.answered(result.status)
                 told = self._learn_pace(now, result.pace)
                 if result.status < SERVER_ERROR:
@@ -187,7 +187,7 @@
                 told = self.leave(REPLACED)
                 waiting = self._waiting.refuse(self.tickets.ids(), REPLACED)
                 return [*told, *waiting, *self._turned_away(now, ticket_id, REPLACED, 0.0)]
-            case Broken():
+            case Incomplete():
                 self.count.lost += 1
                 self.standing.broke()
                 started = self._apply(now, self.queue.release(now, None))
--- a/foldhoist/delivery/replies.py
+++ b/foldhoist/delivery/replies.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from foldhoist.delivery.dispatch import Broken, Ended, Frame, Refused, Replaced, Shed, Whole
+from foldhoist.delivery.dispatch import Complete, Ended, Frame, Incomplete, Refused, Replaced, Shed
 from foldhoist.delivery.standing import REPLACED
 
 if TYPE_CHECKING:
@@ -85,13 +85,13 @@
 def ended_record(now: float, ticket: Ticket, result: Result, busy: int, queued: int) -> Ended:
     """Return what is recorded of a call that the upstream has ended."""
     match result:
-        case Whole(status):
+        case Complete(status):
             name = f"answered {status}"
         case Shed():
             name = "shed"
         case Replaced():
             name = REPLACED
-        case Broken(_, reason):
+        case Incomplete(_, reason):
             name = reason
     req = ticket.request
     waited_us = int((ticket.started - ticket.arrived) * 1e6)
--- a/tests/adapter/test_headers.py
+++ b/tests/adapter/test_headers.py
@@ -8,7 +8,7 @@
 
 from foldhoist.daemon.request import BadRequest
 from foldhoist.delivery.call import CallerRequest
-from foldhoist.delivery.dispatch import Broken, Replaced, Shed, StartCall, Whole
+from foldhoist.delivery.dispatch import Complete, Incomplete, Replaced, Shed, StartCall
 from foldhoist.delivery.verdict import Answered, MayHaveRun, NotRun, Response
 from foldhoist_adapter.headers import PlatformDialect
 from tests.unit.daemon.calls import dispatch_of, head_of
@@ -28,16 +28,16 @@
 @pytest.mark.parametrize(
     ("status", "fields", "kind"),
     [
-        (200, SIGNED, Whole),
-        (500, SIGNED, Whole),
-        (200, {b"X-Attempt-Id": b"a1"}, Broken),
-        (200, {b"X-Response-Signature": b"s"}, Broken),
-        (200, {**SIGNED, b"Content-Encoding": b"gzip"}, Broken),
+        (200, SIGNED, Complete),
+        (500, SIGNED, Complete),
+        (200, {b"X-Attempt-Id": b"a1"}, Incomplete),
+        (200, {b"X-Response-Signature": b"s"}, Incomplete),
+        (200, {**SIGNED, b"Content-Encoding": b"gzip"}, Incomplete),
         (503, {b"X-Attempt-Id": b"a1", b"X-Not-Executed": b"1"}, Shed),
         (429, {b"X-Not-Executed": b"1"}, Shed),
         (400, {b"X-Not-Executed": b"1"}, Shed),
         (421, {b"X-Instance-Id": b"i-2"}, Replaced),
-        (503, {b"X-Attempt-Id": b"a1"}, Broken),
+        (503, {b"X-Attempt-Id": b"a1"}, Incomplete),
         (200, {**SIGNED, b"X-Attempt-Id": b"of-another"}, type(None)),
         (503, {b"X-Attempt-Id": b"of-another", b"X-Not-Executed": b"1"}, type(None)),
     ],
@@ -54,7 +54,7 @@
 )
 def test_the_fourth_figure_of_the_load_is_the_pace(load: bytes, pace: int) -> None:
     result = DIALECT.result(200, head({**SIGNED, b"X-Server-Load": load}), b"", CALL)
-    assert isinstance(result, Whole)
+    assert isinstance(result, Complete)
     assert result.pace == pace
 
 
--- a/tests/unit/daemon/test_upstream.py
+++ b/tests/unit/daemon/test_upstream.py
@@ -6,7 +6,7 @@
 
 from bench.stages import FakeTransport
 from foldhoist.daemon.upstream import UpstreamConnection
-from foldhoist.delivery.dispatch import Broken, Result, Shed, StartCall, Whole
+from foldhoist.delivery.dispatch import Complete, Incomplete, Result, Shed, StartCall
 from tests.unit.daemon.calls import dispatch_of
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"
@@ -30,7 +30,7 @@
 def test_a_whole_answer_leaves_a_usable_connection() -> None:
     wire = Wire()
     wire.call(OK)
-    assert wire.results == [Whole(200, [], b"abc")]
+    assert wire.results == [Complete(200, [], b"abc")]
     assert wire.conn.usable
     wire.call(OK)
     assert len(wire.results) == 2
@@ -50,7 +50,7 @@
 ) -> None:
     wire = Wire()
     wire.call(answer)
-    assert [type(each) for each in wire.results] == [Whole]
+    assert [type(each) for each in wire.results] == [Complete]
     assert not wire.conn.usable
 
 
@@ -59,11 +59,11 @@
     wire = Wire()
     wire.call(OK[:cut])
     wire.conn.connection_lost(None)
-    assert wire.results == [Broken(True, "upstream-connection-lost")]
+    assert wire.results == [Incomplete(True, "upstream-connection-lost")]
 
 
 def test_an_answer_until_the_end_of_the_connection_is_whole_only_at_a_clean_end() -> None:
-    for exc, kind in ((None, Whole), (OSError(), Broken)):
+    for exc, kind in ((None, Complete), (OSError(), Incomplete)):
         wire = Wire()
         wire.call(b"HTTP/1.1 200 OK\r\n\r\nabc")
         wire.conn.connection_lost(exc)
@@ -83,14 +83,14 @@
     wire.call(b"")
     wire.conn.abort("cancelled")
     wire.conn.connection_lost(None)
-    assert wire.results == [Broken(True, "cancelled")]
+    assert wire.results == [Incomplete(True, "cancelled")]
     assert not wire.conn.usable
 
 
 def test_an_answer_above_the_limit_is_broken() -> None:
     wire = Wire()
     wire.call(b"HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n" + b"x" * 101)
-    assert wire.results == [Broken(True, "answer-too-large")]
+    assert wire.results == [Incomplete(True, "answer-too-large")]
 
 
 def test_a_shed_call_did_not_run() -> None:
@@ -103,16 +103,16 @@
 def test_a_503_without_that_header_may_have_run() -> None:
     wire = Wire()
     wire.call(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-    assert wire.results == [Whole(503, [], b"")]
+    assert wire.results == [Complete(503, [], b"")]
 
 
 def test_an_interim_answer_is_not_the_answer() -> None:
     wire = Wire()
     wire.call(b"HTTP/1.1 100 Continue\r\n\r\n" + OK)
-    assert wire.results == [Whole(200, [], b"abc")]
+    assert wire.results == [Complete(200, [], b"abc")]
 
 
 def test_the_answer_to_head_has_no_body() -> None:
     wire = Wire()
     wire.call(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n", head=True)
-    assert wire.results == [Whole(200, [], b"")]
+    assert wire.results == [Complete(200, [], b"")]
--- a/tests/unit/delivery/chain.py
+++ b/tests/unit/delivery/chain.py
@@ -18,7 +18,7 @@
 from foldhoist.delivery.call import CallerRequest, Reply
 from foldhoist.delivery.call import SendTo as IngressSendTo
 from foldhoist.delivery.codec import SCHEMA_VERSION
-from foldhoist.delivery.dispatch import Result, SendTo, Shed, StartCall, Whole
+from foldhoist.delivery.dispatch import Complete, Result, SendTo, Shed, StartCall
 from foldhoist.delivery.ingress import Ingress
 from foldhoist.delivery.owner import Owner
 from foldhoist.delivery.services import RetrySlack
@@ -232,7 +232,7 @@
             left -= 1
             good = good and each
             if not left:
-                self._finish(owner, ticket, Whole(200 if good else 500, [], b""))
+                self._finish(owner, ticket, Complete(200 if good else 500, [], b""))
 
         for _ in range(self.deployment.calls):
             self._call(owner.name, service, repeat, ended)
--- a/tests/unit/delivery/test_chain.py
+++ b/tests/unit/delivery/test_chain.py
@@ -19,7 +19,7 @@
 
 import pytest
 
-from foldhoist.delivery.dispatch import Result, Shed, Whole
+from foldhoist.delivery.dispatch import Complete, Result, Shed
 from tests.unit.delivery.chain import Chain, Deployment
 
 if TYPE_CHECKING:
@@ -34,15 +34,15 @@
 
 
 def turns_all_away(now: float, rng: random.Random) -> Result:
-    return Shed(0.0) if in_trouble(now) else Whole(200, [], b"")
+    return Shed(0.0) if in_trouble(now) else Complete(200, [], b"")
 
 
 def fails_all(now: float, rng: random.Random) -> Result:
-    return Whole(500 if in_trouble(now) else 200, [], b"")
+    return Complete(500 if in_trouble(now) else 200, [], b"")
 
 
 def fails_some(now: float, rng: random.Random) -> Result:
-    return Whole(500 if in_trouble(now) and rng.random() < 0.4 else 200, [], b"")
+    return Complete(500 if in_trouble(now) and rng.random() < 0.4 else 200, [], b"")
 
 
 LASTS: tuple[Callable[[float, random.Random], Result], ...] = (
--- a/tests/unit/delivery/test_owner.py
+++ b/tests/unit/delivery/test_owner.py
@@ -8,16 +8,16 @@
 from foldhoist.admission.slots import Shape
 from foldhoist.delivery import peers as peers_module
 from foldhoist.delivery.dispatch import (
-    Broken,
     CancelCall,
     CloseLink,
+    Complete,
     Hold,
+    Incomplete,
     Replaced,
     Sample,
     SendTo,
     Shed,
     StartCall,
-    Whole,
 )
 from foldhoist.delivery.owner import Owner
 from foldhoist.delivery.standing import PACE_KEPT_MS, REPLACED
@@ -30,7 +30,7 @@
     from foldhoist.schema.messages import Suspect
 
 EMPTY: Suspect = {"call": "", "crashes": [], "refuted": [], "age_ms": 0}
-ANSWER = Whole(200, [], b"x" * 1000)
+ANSWER = Complete(200, [], b"x" * 1000)
 
 
 def make(slots: int = 2) -> Owner:
@@ -123,7 +123,7 @@
     assert said(owner.withdraw(0.2, 1, {"seq": 2})) == [(2, "Refusal", "no")]
     assert isinstance(start, StartCall)
     assert owner.withdraw(0.2, 1, {"seq": 1}) == [CancelCall(start.ticket)]
-    ended = owner.finished(0.3, start.ticket, Broken(True, "cancelled"))
+    ended = owner.finished(0.3, start.ticket, Incomplete(True, "cancelled"))
     assert said(ended) == [(1, "Refusal", "maybe")]
 
 
@@ -131,7 +131,7 @@
     owner = make()
     (start,) = owner.dispatch(0.1, 0, 1, dispatch(1))
     assert isinstance(start, StartCall)
-    ended = owner.finished(0.2, start.ticket, Broken(False, "upstream-unreachable"))
+    ended = owner.finished(0.2, start.ticket, Incomplete(False, "upstream-unreachable"))
     assert said(ended) == [(1, "Refusal", "no")]
 
 
@@ -144,7 +144,7 @@
     for result, was_there in (
         (Shed(0.1), True),
         (Replaced(), True),
-        (Broken(False, "upstream-unreachable"), False),
+        (Incomplete(False, "upstream-unreachable"), False),
     ):
         owner = make()
         (start,) = owner.dispatch(0.1, 0, 1, dispatch(1))
@@ -246,7 +246,7 @@
                 starts += owner.dispatch(now, 0, 1, dispatch(seq))
             now += 0.1 if beside == 1 else 0.3
             for start in starts:
-                told += reported_slots(owner.finished(now, start.ticket, Whole(200, [], b"")))
+                told += reported_slots(owner.finished(now, start.ticket, Complete(200, [], b"")))
         assert seq < 1000
     assert told[0] == (1, 4)
 
@@ -266,7 +266,7 @@
         owner.hello(0.0, link, hello(f"in-{link}", 1))
         (start,) = owner.dispatch(link / 100, 0, link, dispatch(1))
         assert isinstance(start, StartCall)
-        owner.finished(link / 100, start.ticket, Whole(200, [], b"", 100))
+        owner.finished(link / 100, start.ticket, Complete(200, [], b"", 100))
     told = [action.link for action in owner.sampled(1.0, Sample(500)) if isinstance(action, SendTo)]
     assert told == list(range(MOST_TOLD + 9, 9, -1))
     assert owner.sampled(1.1, Sample(510)) == []
@@ -299,7 +299,7 @@
     assert bodies.held == 90_000
     owner.finished(0.1, 1, ANSWER)
     owner.withdraw(0.1, 1, {"seq": 2})
-    owner.finished(0.2, 2, Broken(True, "cancelled"))
+    owner.finished(0.2, 2, Incomplete(True, "cancelled"))
     assert bodies.held == 0
     assert owner.calls == 0
 
@@ -322,7 +322,7 @@
     owner = make()
     (started,) = owner.dispatch(0.0, 0, 1, dispatch(1))
     told = owner.upstream_ended(0.1, [started.ticket])
-    told += owner.finished(0.1, started.ticket, Broken(True, "upstream-connection-lost"))
+    told += owner.finished(0.1, started.ticket, Incomplete(True, "upstream-connection-lost"))
     assert kinds(told) == ["Crashes", "Refusal"]
     (suspect,) = told[0].frame.body["suspects"]
     assert suspect["crashes"]
@@ -366,5 +366,5 @@
         (started,) = owner.dispatch(0.0, 0, 1, dispatch(seq))
         call = owner.tickets[started.ticket].identity
         owner.quarantine.learned(0.0, [{**EMPTY, "call": call, "crashes": ["a/1"]}])
-        owner.finished(0.1, started.ticket, Whole(status, [], b""))
+        owner.finished(0.1, started.ticket, Complete(status, [], b""))
         assert owner.quarantine.is_suspect(call) is (status == 504)
--- a/tests/unit/delivery/test_turning_away.py
+++ b/tests/unit/delivery/test_turning_away.py
@@ -15,7 +15,7 @@
 import pytest
 
 from foldhoist.admission.shedding import IN_A_ROW, Shedding
-from foldhoist.delivery.dispatch import SendTo, Shed, StartCall, Whole
+from foldhoist.delivery.dispatch import Complete, SendTo, Shed, StartCall
 from foldhoist.delivery.turning_away import SHEDS_ALL
 from foldhoist.routing.picker import Choice, Member, NoChoice, Picker
 from foldhoist.routing.policies import Mixed
@@ -103,7 +103,7 @@
         for entry in [entry for entry in self.running if entry[0] <= now]:
             self.running.remove(entry)
             _, each, ticket, sheds = entry
-            result = Shed(0.1) if sheds else Whole(200, [], b"")
+            result = Shed(0.1) if sheds else Complete(200, [], b"")
             self.hear(now, each, self.owners[each].finished(now, ticket, result))
         for each, owner in enumerate(self.owners):
             self.hear(now, each, owner.tick(now))
