--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -17,10 +17,10 @@
     CancelCall,
     CloseLink,
     Complete,
-    Hold,
     Incomplete,
+    QuarantineCalls,
     SendTo,
-    Spread,
+    ShareSuspects,
     StartCall,
 )
 from foldhoist.delivery.endings import LOCAL_LINK
@@ -328,9 +328,9 @@
                     self.pool.start(self._loop.time(), action)
                 case CancelCall(ticket, reason):
                     self.pool.cancel(ticket, reason)
-                case Spread(suspects) if self.on_spread is not None:
+                case ShareSuspects(suspects) if self.on_spread is not None:
                     self.on_spread(suspects)
-                case Hold(calls):
+                case QuarantineCalls(calls):
                     self._tell_held(calls)
                 case CloseLink(link):
                     conn = self._conns.get(link)
--- a/foldhoist/delivery/dispatch.py
+++ b/foldhoist/delivery/dispatch.py
@@ -54,19 +54,19 @@
     reason: str = "cancelled"
 
 
-class Spread(NamedTuple):
+class ShareSuspects(NamedTuple):
     """Have daemons that are not connected with this owner hear of these."""
 
     suspects: list[Suspect]
 
 
-class Hold(NamedTuple):
+class QuarantineCalls(NamedTuple):
     """Calls like these are refused from now on."""
 
     calls: list[str]
 
 
-Action: TypeAlias = SendTo | CloseLink | StartCall | CancelCall | Spread | Hold
+Action: TypeAlias = SendTo | CloseLink | StartCall | CancelCall | ShareSuspects | QuarantineCalls
 
 
 class Complete(NamedTuple):
--- a/foldhoist/delivery/holding.py
+++ b/foldhoist/delivery/holding.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from foldhoist.delivery.dispatch import CancelCall, Hold, dispatch_identity
+from foldhoist.delivery.dispatch import CancelCall, QuarantineCalls, dispatch_identity
 from foldhoist.quarantine.table import HELD
 
 if TYPE_CHECKING:
@@ -62,7 +62,7 @@
         if not calls:
             return []
         self._count.held += len(calls)
-        actions: list[Action] = [Hold(calls)]
+        actions: list[Action] = [QuarantineCalls(calls)]
         found = [each for each in self._tickets.ids() if self._tickets[each].identity in calls]
         for ticket_id in found:
             ticket = self._tickets[ticket_id]
--- a/foldhoist/delivery/telling.py
+++ b/foldhoist/delivery/telling.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from foldhoist.delivery.dispatch import Frame, SendTo, Spread
+from foldhoist.delivery.dispatch import Frame, SendTo, ShareSuspects
 from foldhoist.delivery.standing import PACE_KEPT_MS
 
 if TYPE_CHECKING:
@@ -64,7 +64,7 @@
         if not suspects:
             return []
         told = crashes_frame(suspects)
-        return [*(SendTo(link, told) for link in self._peers.links()), Spread(suspects)]
+        return [*(SendTo(link, told) for link in self._peers.links()), ShareSuspects(suspects)]
 
     def _to(self, links: list[int]) -> list[Action]:
         report = Frame("Report", {"load": self.load()})
--- a/tests/unit/delivery/test_owner.py
+++ b/tests/unit/delivery/test_owner.py
@@ -11,8 +11,8 @@
     CancelCall,
     CloseLink,
     Complete,
-    Hold,
     Incomplete,
+    QuarantineCalls,
     Replaced,
     Sample,
     SendTo,
@@ -337,7 +337,7 @@
     call = owner.tickets[started.ticket].identity
     row = {"call": call, "crashes": ["a/1", "b/1"], "refuted": [], "age_ms": 0}
     actions = owner.learn_crashes(0.1, [cast("Any", row)])
-    assert Hold([call]) in actions
+    assert QuarantineCalls([call]) in actions
     assert CancelCall(started.ticket, HELD) in actions
     assert said(actions) == [(2, "Refusal", "no")]
     assert said(owner.dispatch(0.2, 0, 1, dispatch(3))) == [(3, "Refusal", "no")]
@@ -349,7 +349,7 @@
     (started,) = owner.dispatch(0.0, 0, 1, dispatch(1))
     call = owner.tickets[started.ticket].identity
     row = {"call": call, "crashes": ["a/1", "b/1"], "refuted": [], "age_ms": 0}
-    assert owner.learn_crashes(0.1, [cast("Any", row)]) == [Hold([call])]
+    assert owner.learn_crashes(0.1, [cast("Any", row)]) == [QuarantineCalls([call])]
 
 
 def test_an_ingress_that_connects_is_told_which_calls_end_upstreams() -> None:
