--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -12,6 +12,7 @@
 from foldhoist.daemon.lost_calls import LostCalls
 from foldhoist.daemon.sampler import Sampler
 from foldhoist.daemon.upstream import CONNECTION_LOST, UpstreamPool
+from foldhoist.delivery.call_finisher import LOCAL_LINK
 from foldhoist.delivery.codec import HEADROOM, SCHEMA_VERSION
 from foldhoist.delivery.dispatch import (
     CancelCall,
@@ -23,7 +24,6 @@
     ShareSuspects,
     StartCall,
 )
-from foldhoist.delivery.endings import LOCAL_LINK
 from foldhoist.delivery.standing import EVACUATED
 from foldhoist.membership.lives import life_of
 from foldhoist.routing.sampling import SamplePlan
--- a/foldhoist/delivery/endings.py
+++ b/foldhoist/delivery/call_finisher.py
@@ -23,7 +23,7 @@
 """Link number of the ingress in the owner's own process."""
 
 
-class Endings:
+class CallFinisher:
     """Ends calls: takes them off the tickets, tells all who wait, keeps what may be asked again."""
 
     def __init__(
@@ -73,7 +73,7 @@
             self._keys.ended(ticket.key, None, ran=ran != "no")
         return actions
 
-    def refused_at_door(
+    def refused_on_arrival(
         self, peer: Peer, req: Dispatch, reason: str, retry_after_s: float
     ) -> Action:
         """Send back a call that was not taken in."""
--- a/foldhoist/delivery/claims.py
+++ b/foldhoist/delivery/claims.py
@@ -8,8 +8,8 @@
 from foldhoist.delivery.keys import Deny, Join, Replay, fingerprint
 
 if TYPE_CHECKING:
+    from foldhoist.delivery.call_finisher import CallFinisher
     from foldhoist.delivery.dispatch import Action, Counters, Peer
-    from foldhoist.delivery.endings import Endings
     from foldhoist.delivery.keys import KeyTable
     from foldhoist.schema.messages import Dispatch, Load
 
@@ -17,9 +17,9 @@
 class Claims:
     """Claims keys for calls; times are monotonic seconds, `wall_ms` milliseconds of wall clock."""
 
-    def __init__(self, keys: KeyTable, endings: Endings, count: Counters) -> None:
+    def __init__(self, keys: KeyTable, finisher: CallFinisher, count: Counters) -> None:
         self._keys = keys
-        self._endings = endings
+        self._finisher = finisher
         self._count = count
 
     def claim(
@@ -32,12 +32,12 @@
         match claim:
             case Deny():
                 self._count.key_denied += 1
-                return [self._endings.send(peer, seq, replies.denied_frame(seq, claim, load))]
+                return [self._finisher.send(peer, seq, replies.denied_frame(seq, claim, load))]
             case Replay(response):
                 self._count.key_replayed += 1
                 frame = replies.answer_frame(seq, response, -1, (0, 0), load)
-                return [self._endings.send(peer, seq, frame)]
+                return [self._finisher.send(peer, seq, frame)]
             case Join():
-                self._endings.joined.add(req["key"], peer.incarnation, seq)
+                self._finisher.joined.add(req["key"], peer.incarnation, seq)
                 return []
         return None
--- a/foldhoist/delivery/holding.py
+++ b/foldhoist/delivery/holding.py
@@ -11,7 +11,7 @@
     from foldhoist.delivery.dispatch import Action, Counters
     from foldhoist.delivery.telling import Telling
     from foldhoist.delivery.tickets import Tickets
-    from foldhoist.delivery.waiting import Waiting
+    from foldhoist.delivery.waiting_calls import WaitingCalls
     from foldhoist.quarantine.table import Quarantine
     from foldhoist.schema.messages import Dispatch, Suspect
 
@@ -24,7 +24,7 @@
         quarantine: Quarantine,
         tickets: Tickets,
         telling: Telling,
-        waiting: Waiting,
+        waiting: WaitingCalls,
         count: Counters,
     ) -> None:
         self._quarantine = quarantine
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -13,6 +13,7 @@
 from foldhoist.admission.due import DueQueue
 from foldhoist.admission.slots import Refuse, Shape, SlotQueue, Start
 from foldhoist.delivery import replies
+from foldhoist.delivery.call_finisher import CallFinisher
 from foldhoist.delivery.claims import Claims
 from foldhoist.delivery.dispatch import (
     Action,
@@ -31,7 +32,6 @@
     StartCall,
     Ticket,
 )
-from foldhoist.delivery.endings import Endings
 from foldhoist.delivery.holding import Holding
 from foldhoist.delivery.keys import KeyTable
 from foldhoist.delivery.owner_door import OwnerDoor
@@ -40,7 +40,7 @@
 from foldhoist.delivery.telling import Telling, crashes_frame
 from foldhoist.delivery.tickets import Tickets
 from foldhoist.delivery.turning_away import TurningAway
-from foldhoist.delivery.waiting import Waiting
+from foldhoist.delivery.waiting_calls import WaitingCalls
 from foldhoist.quarantine.table import Quarantine
 
 if TYPE_CHECKING:
@@ -88,11 +88,13 @@
         self._peers = Peers()
         self._telling = Telling(self.standing, self.queue, self._peers)
         self.tickets = Tickets(bodies)
-        self._endings = Endings(self.tickets, self.keys, self._peers, self._telling, self.count)
-        self.refusals = self._endings.refusals
-        self._claims = Claims(self.keys, self._endings, self.count)
+        self._finisher = CallFinisher(
+            self.tickets, self.keys, self._peers, self._telling, self.count
+        )
+        self.refusals = self._finisher.refusals
+        self._claims = Claims(self.keys, self._finisher, self.count)
         self._crowding = Crowding()
-        self._waiting = Waiting(self.queue, self.tickets, self._endings)
+        self._waiting = WaitingCalls(self.queue, self.tickets, self._finisher)
         self._turning_away = TurningAway(self.standing, self._telling, self._waiting, self.tickets)
         self._holding = Holding(
             self.quarantine, self.tickets, self._telling, self._waiting, self.count
@@ -128,7 +130,7 @@
         drop_acked(peer, req["acked"])
         closed = self._door.closed(now, req, self.service)
         if closed is not None:
-            return [self._endings.refused_at_door(peer, req, *closed)]
+            return [self._finisher.refused_on_arrival(peer, req, *closed)]
         if req["key"]:
             early = self._claims.claim(now, wall_ms, peer, req, self.load())
             if early is not None:
@@ -149,7 +151,7 @@
         if not ticket.running:
             self.queue.withdraw(ticket_id)
             self.count.withdrawn += 1
-            return self._endings.refused(ticket_id, "no", "withdrawn", 0.0)
+            return self._finisher.refused(ticket_id, "no", "withdrawn", 0.0)
         self.count.cancelled += 1
         return [CancelCall(ticket_id)]
 
@@ -158,7 +160,7 @@
         peer = self._peers.at(link)
         if peer is None:
             return []
-        return [SendTo(link, frame) for frame in self._endings.fates(peer, message["seqs"])]
+        return [SendTo(link, frame) for frame in self._finisher.fates(peer, message["seqs"])]
 
     def finished(self, now: float, ticket_id: int, result: Result) -> list[Action]:
         """Take in what the upstream made of a call."""
@@ -177,7 +179,7 @@
                 self._learn_crowding(now, ticket, served)
                 started = self._apply(now, self.queue.release(now, served))
                 started += self._use_slots(now)
-                return [*self._endings.answered(now, ticket_id, result, served), *started, *told]
+                return [*self._finisher.answered(now, ticket_id, result, served), *started, *told]
             case Shed():
                 self.standing.state = "shedding"
                 noted = self._turning_away.turned_away(now)
@@ -192,7 +194,7 @@
                 self.standing.broke()
                 started = self._apply(now, self.queue.release(now, None))
                 ran = "maybe" if result.sent else "no"
-                return [*self._endings.refused(ticket_id, ran, result.reason, 0.5), *started]
+                return [*self._finisher.refused(ticket_id, ran, result.reason, 0.5), *started]
 
     def upstream_ended(self, now: float, tickets: list[int]) -> list[Action]:
         """Take in that the upstream has ended with these calls at work.
@@ -367,11 +369,11 @@
             match decision:
                 case Start(ticket_id) if now > self.standing.stop_at:
                     actions += self._apply(now, self.queue.release(now, None))
-                    actions += self._endings.refused(ticket_id, "no", "upstream-leaving", 0.0)
+                    actions += self._finisher.refused(ticket_id, "no", "upstream-leaving", 0.0)
                 case Start(ticket_id):
                     actions.append(self._start(now, ticket_id))
                 case Refuse(ticket_id, reason, retry_after_s):
-                    actions += self._endings.refused(ticket_id, "no", reason, retry_after_s)
+                    actions += self._finisher.refused(ticket_id, "no", reason, retry_after_s)
         return actions
 
     def _start(self, now: float, ticket_id: int) -> Action:
@@ -388,6 +390,6 @@
         self.count.turned_away += 1
         started = self._apply(now, self.queue.release(now, None))
         return [
-            *self._endings.refused(ticket_id, "no", reason, retry_after_s, reached=True),
+            *self._finisher.refused(ticket_id, "no", reason, retry_after_s, reached=True),
             *started,
         ]
--- a/foldhoist/delivery/turning_away.py
+++ b/foldhoist/delivery/turning_away.py
@@ -9,7 +9,7 @@
     from foldhoist.delivery.standing import Standing
     from foldhoist.delivery.telling import Telling
     from foldhoist.delivery.tickets import Tickets
-    from foldhoist.delivery.waiting import Waiting
+    from foldhoist.delivery.waiting_calls import WaitingCalls
 
 SHEDS_ALL = "upstream-sheds-all"
 """Reason of a refusal by an owner whose upstream turns every call away."""
@@ -24,7 +24,7 @@
     """
 
     def __init__(
-        self, standing: Standing, telling: Telling, waiting: Waiting, tickets: Tickets
+        self, standing: Standing, telling: Telling, waiting: WaitingCalls, tickets: Tickets
     ) -> None:
         self._standing = standing
         self._telling = telling
--- a/foldhoist/delivery/waiting.py
+++ b/foldhoist/delivery/waiting_calls.py
@@ -7,18 +7,20 @@
 if TYPE_CHECKING:
     from foldhoist.admission.due import DueQueue
     from foldhoist.admission.slots import SlotQueue
+    from foldhoist.delivery.call_finisher import CallFinisher
     from foldhoist.delivery.dispatch import Action
-    from foldhoist.delivery.endings import Endings
     from foldhoist.delivery.tickets import Tickets
 
 
-class Waiting:
+class WaitingCalls:
     """The calls of one owner that have no slot yet."""
 
-    def __init__(self, queue: SlotQueue | DueQueue, tickets: Tickets, endings: Endings) -> None:
+    def __init__(
+        self, queue: SlotQueue | DueQueue, tickets: Tickets, finisher: CallFinisher
+    ) -> None:
         self._queue = queue
         self._tickets = tickets
-        self._endings = endings
+        self._finisher = finisher
 
     def refuse(self, ticket_ids: list[int], reason: str) -> list[Action]:
         """Refuse those of these calls that wait."""
@@ -27,5 +29,5 @@
             if self._tickets[ticket_id].running:
                 continue
             self._queue.withdraw(ticket_id)
-            actions += self._endings.refused(ticket_id, "no", reason, 0.0)
+            actions += self._finisher.refused(ticket_id, "no", reason, 0.0)
         return actions
