--- a/foldhoist/delivery/call.py
+++ b/foldhoist/delivery/call.py
@@ -161,7 +161,7 @@
     PARK_TIMEOUT = 3
 
 
-class Live:
+class PendingAttempt:
     """An attempt that has no result yet."""
 
     __slots__ = ("candidates", "fate_due", "reason", "sent", "seq", "target")
@@ -191,9 +191,9 @@
         "excluded",
         "failure",
         "identity_known",
-        "live",
         "maybe",
         "objective_s",
+        "pending",
         "rank",
         "repeatable",
         "req",
@@ -225,7 +225,7 @@
         self.repeatable = routed.repeatable
         self.arrived = now
         self.deadline = deadline
-        self.live: dict[int, Live] = {}
+        self.pending: dict[int, PendingAttempt] = {}
         self.excluded: set[str] = set()
         self.attempts: list[Attempt] = []
         self.attempts_allowed = routed.attempts
@@ -247,20 +247,22 @@
             )
         return self.identity_known
 
-    def note(self, now: float, live: Live, result: str, waited_us: int, served_us: int) -> None:
+    def note(
+        self, now: float, attempt: PendingAttempt, result: str, waited_us: int, served_us: int
+    ) -> None:
         """Keep what became of an attempt for the record."""
-        attempt = Attempt(
-            live.seq,
-            live.target,
-            live.reason,
-            live.candidates,
-            live.sent,
+        ended = Attempt(
+            attempt.seq,
+            attempt.target,
+            attempt.reason,
+            attempt.candidates,
+            attempt.sent,
             now,
             result,
             waited_us,
             served_us,
         )
-        self.attempts.append(attempt)
+        self.attempts.append(ended)
 
 
 def record_of(call: Call, now: float, verdict: Verdict, generation: int) -> Record:
--- a/foldhoist/delivery/call_table.py
+++ b/foldhoist/delivery/call_table.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from foldhoist.delivery.call import Call, Live, Timer
+    from foldhoist.delivery.call import Call, PendingAttempt, Timer
 
 
 class CallTable:
@@ -52,18 +52,18 @@
         """Return the oldest attempt without a result."""
         return next(iter(self.by_seq), otherwise)
 
-    def attempts_at(self, target: str) -> list[tuple[Call, Live]]:
+    def attempts_at(self, target: str) -> list[tuple[Call, PendingAttempt]]:
         """Return the attempts that are at this owner."""
-        found: list[tuple[Call, Live]] = []
+        found: list[tuple[Call, PendingAttempt]] = []
         for call in self._calls.values():
-            for live in call.live.values():
-                if live.target == target:
-                    found.append((call, live))
+            for attempt in call.pending.values():
+                if attempt.target == target:
+                    found.append((call, attempt))
         return found
 
-    def awaiting_fate(self, target: str) -> list[tuple[Call, Live]]:
+    def awaiting_fate(self, target: str) -> list[tuple[Call, PendingAttempt]]:
         """Return the attempts whose fate this owner is to tell."""
-        return [(call, live) for call, live in self.attempts_at(target) if live.fate_due]
+        return [(call, attempt) for call, attempt in self.attempts_at(target) if attempt.fate_due]
 
     def park(self, call: Call) -> None:
         """Let a call wait for a first connection."""
--- a/foldhoist/delivery/ingress.py
+++ b/foldhoist/delivery/ingress.py
@@ -16,8 +16,8 @@
     CallerRequest,
     Connect,
     Counters,
-    Live,
     Outgoing,
+    PendingAttempt,
     Reply,
     SendTo,
     Timer,
@@ -117,10 +117,10 @@
         ended = self._end_attempt(message["seq"])
         if ended is None:
             return []
-        call, live, picker = ended
+        call, attempt, picker = ended
         if picker is not None:
-            rules.tell_answer(now, picker, call, live, message)
-        call.note(now, live, "answered", message["waited_us"], message["served_us"])
+            rules.tell_answer(now, picker, call, attempt, message)
+        call.note(now, attempt, "answered", message["waited_us"], message["served_us"])
         response = Response(message["status"], message["headers"], message["body"])
         failed = response.status >= rules.SERVER_ERROR
         if failed and call.repeatable and not call.req.key:
@@ -133,10 +133,10 @@
         ended = self._end_attempt(message["seq"])
         if ended is None:
             return []
-        call, live, picker = ended
+        call, attempt, picker = ended
         if picker is not None:
-            rules.tell_refusal(now, picker, call, live, message)
-        call.note(now, live, f"{message['ran']}:{message['reason']}", 0, 0)
+            rules.tell_refusal(now, picker, call, attempt, message)
+        call.note(now, attempt, f"{message['ran']}:{message['reason']}", 0, 0)
         if message["ran"] == "maybe":
             call.maybe = message["reason"]
         elif message.get("reached", False):
@@ -168,14 +168,14 @@
     def link_lost(self, now: float, target: str) -> list[Action]:
         """Take in that a connection to an owner fell."""
         actions = self.link_closing(now, target)
-        for call, live in self._calls.attempts_at(target):
-            if live.fate_due:
+        for call, attempt in self._calls.attempts_at(target):
+            if attempt.fate_due:
                 continue
             if call.repeatable and not call.req.key:
-                actions += self._lose(now, call, live, "owner-connection-lost")
+                actions += self._lose(now, call, attempt, "owner-connection-lost")
                 continue
-            live.fate_due = now + FATE_TIMEOUT_S
-            self._calls.schedule(min(live.fate_due, call.deadline), call, Timer.FATE_TIMEOUT)
+            attempt.fate_due = now + FATE_TIMEOUT_S
+            self._calls.schedule(min(attempt.fate_due, call.deadline), call, Timer.FATE_TIMEOUT)
         return actions
 
     def link_refused(self, now: float, target: str) -> list[Action]:
@@ -220,14 +220,14 @@
 
     # Steps
 
-    def _end_attempt(self, seq: int) -> tuple[Call, Live, Picker | None] | None:
+    def _end_attempt(self, seq: int) -> tuple[Call, PendingAttempt, Picker | None] | None:
         """Return the call and the attempt that a result is for, or None if it comes too late."""
         call = self._calls.by_seq.pop(seq, None)
         if call is None:
             self.count.late += 1
             return None
         state = self._services.get(call.service)
-        return call, call.live.pop(seq), state.picker if state is not None else None
+        return call, call.pending.pop(seq), state.picker if state is not None else None
 
     def _on_timer(self, now: float, call: Call, kind: Timer) -> list[Action]:
         if now >= call.deadline:
@@ -303,7 +303,7 @@
         call.tries += 1
         call.arrivals += 1
         call.excluded.add(pick.name)
-        call.live[seq] = Live(seq, pick.name, pick, now)
+        call.pending[seq] = PendingAttempt(seq, pick.name, pick, now)
         self._calls.by_seq[seq] = call
         if state is not None:
             state.picker.sent(pick.name, seq, now)
@@ -313,7 +313,7 @@
         return [SendTo(pick.name, Outgoing("Dispatch", message))]
 
     def _go_on(self, now: float, call: Call, reason: str, retry_after_s: float) -> list[Action]:
-        if call.live:
+        if call.pending:
             return []
         if quarantined_s := self.admission.quarantined_s(now, call):
             return self._give_up(now, call, HELD, quarantined_s)
@@ -324,7 +324,7 @@
 
     def _hedge(self, now: float, call: Call) -> list[Action]:
         # Under a call that ends upstreams a hedge would end a second one at once.
-        if len(call.live) != 1 or self.admission.is_suspect(call):
+        if len(call.pending) != 1 or self.admission.is_suspect(call):
             return []
         if not rules.may_retry(now, call, self._services.get(call.service), self.count):
             return []
@@ -332,12 +332,12 @@
         return self._attempt(now, call)
 
     def _give_up(self, now: float, call: Call, reason: str, retry_after_s: float) -> list[Action]:
-        if call.live:
+        if call.pending:
             return []
         return self._finish(now, call, rules.last_verdict(call, NotRun(reason, retry_after_s)))
 
     def _expire(self, now: float, call: Call) -> list[Action]:
-        if call.failure is None and (call.live or call.maybe):
+        if call.failure is None and (call.pending or call.maybe):
             return self._finish(now, call, MayHaveRun("deadline-passed", status=504))
         not_run = NotRun("deadline-passed", 0.0, status=504)
         return self._finish(now, call, rules.last_verdict(call, not_run))
@@ -345,8 +345,8 @@
     def _finish(self, now: float, call: Call, verdict: Verdict) -> list[Action]:
         if self._calls.remove(call.call_id) is None:
             return []
-        for live in call.live.values():
-            call.note(now, live, "withdrawn", 0, 0)
+        for attempt in call.pending.values():
+            call.note(now, attempt, "withdrawn", 0, 0)
         self.count.ended(verdict)
         self.gate.ended(now, call, ran=not isinstance(verdict, NotRun))
         reply = Reply(call.call_id, verdict, record_of(call, now, verdict, self.generation))
@@ -355,12 +355,12 @@
     def _withdraw_all(self, now: float, call: Call) -> list[Action]:
         actions: list[Action] = []
         state = self._services.get(call.service)
-        for seq, live in call.live.items():
+        for seq, attempt in call.pending.items():
             self._calls.by_seq.pop(seq, None)
             if state is not None:
-                state.picker.abandoned(live.target, seq, now)
-            actions.append(SendTo(live.target, Outgoing("Withdraw", {"seq": seq})))
-        call.live = {}
+                state.picker.abandoned(attempt.target, seq, now)
+            actions.append(SendTo(attempt.target, Outgoing("Withdraw", {"seq": seq})))
+        call.pending = {}
         return actions
 
     def _ask_fate(self, now: float, target: str, fresh: bool) -> list[Action]:
@@ -370,28 +370,28 @@
         if fresh:
             return self._end_asking(now, target, "owner-restarted")
         self.count.fate_asked += len(asked)
-        seqs = [live.seq for _, live in asked]
+        seqs = [attempt.seq for _, attempt in asked]
         return [SendTo(target, Outgoing("FateAsk", {"seqs": seqs}))]
 
     def _end_asking(self, now: float, target: str, reason: str) -> list[Action]:
         actions: list[Action] = []
-        for call, live in self._calls.awaiting_fate(target):
-            actions += self._lose(now, call, live, reason)
+        for call, attempt in self._calls.awaiting_fate(target):
+            actions += self._lose(now, call, attempt, reason)
         return actions
 
     def _end_unasked(self, now: float, call: Call) -> list[Action]:
         actions: list[Action] = []
-        for live in list(call.live.values()):
-            if live.fate_due and now >= live.fate_due:
-                actions += self._lose(now, call, live, "owner-unreachable")
+        for attempt in list(call.pending.values()):
+            if attempt.fate_due and now >= attempt.fate_due:
+                actions += self._lose(now, call, attempt, "owner-unreachable")
         return actions
 
-    def _lose(self, now: float, call: Call, live: Live, reason: str) -> list[Action]:
-        call.live.pop(live.seq, None)
-        self._calls.by_seq.pop(live.seq, None)
+    def _lose(self, now: float, call: Call, attempt: PendingAttempt, reason: str) -> list[Action]:
+        call.pending.pop(attempt.seq, None)
+        self._calls.by_seq.pop(attempt.seq, None)
         state = self._services.get(call.service)
         if state is not None:
-            state.picker.lost(live.target, live.seq, now)
+            state.picker.lost(attempt.target, attempt.seq, now)
         call.maybe = reason
-        call.note(now, live, f"maybe:{reason}", 0, 0)
+        call.note(now, attempt, f"maybe:{reason}", 0, 0)
         return self._go_on(now, call, reason, 0.5)
--- a/foldhoist/delivery/rules.py
+++ b/foldhoist/delivery/rules.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Container
 
-    from foldhoist.delivery.call import Call, CallerRequest, Counters, Live
+    from foldhoist.delivery.call import Call, CallerRequest, Counters, PendingAttempt
     from foldhoist.delivery.services import ServiceState
     from foldhoist.delivery.verdict import NotRun, Verdict
     from foldhoist.routing.picker import Picker
@@ -133,22 +133,28 @@
     return Choice(name, "home-of-the-key", ())
 
 
-def tell_answer(now: float, picker: Picker, call: Call, live: Live, message: Answer) -> None:
+def tell_answer(
+    now: float, picker: Picker, call: Call, attempt: PendingAttempt, message: Answer
+) -> None:
     """Let the picker learn from an answer."""
     failed = message["status"] >= SERVER_ERROR
     size = len(call.req.body) + len(message["body"])
     load, ahead = message["load"], message["ahead"]
     served_s = message["served_us"] / 1e6
-    picker.answered(live.target, live.seq, now, failed, load, ahead, call.route, size, served_s)
+    picker.answered(
+        attempt.target, attempt.seq, now, failed, load, ahead, call.route, size, served_s
+    )
 
 
-def tell_refusal(now: float, picker: Picker, call: Call, live: Live, message: Refusal) -> None:
+def tell_refusal(
+    now: float, picker: Picker, call: Call, attempt: PendingAttempt, message: Refusal
+) -> None:
     """Let the picker learn from a refusal; one of a key says nothing of the upstream's room."""
     if message["ran"] == "maybe":
-        picker.lost(live.target, live.seq, now)
+        picker.lost(attempt.target, attempt.seq, now)
         return
     if call.req.key:
-        picker.abandoned(live.target, live.seq, now)
+        picker.abandoned(attempt.target, attempt.seq, now)
         return
     retry_after_s = message["retry_after_ms"] / 1000
-    picker.refused(live.target, live.seq, now, retry_after_s, message["load"])
+    picker.refused(attempt.target, attempt.seq, now, retry_after_s, message["load"])
--- a/tests/integration/mutants.py
+++ b/tests/integration/mutants.py
@@ -17,9 +17,9 @@
 
     def lost(self: ingress.Ingress, now: float, target: str) -> list[Any]:
         actions: list[Any] = []
-        for call, live in self._calls.attempts_at(target):
-            call.live.pop(live.seq, None)
-            self._calls.by_seq.pop(live.seq, None)
+        for call, attempt in self._calls.attempts_at(target):
+            call.pending.pop(attempt.seq, None)
+            self._calls.by_seq.pop(attempt.seq, None)
             actions += self._give_up(now, call, "connection-lost", 0.1)
         return actions
 
