--- a/foldhoist/delivery/ingress.py
+++ b/foldhoist/delivery/ingress.py
@@ -119,7 +119,7 @@
             return []
         call, attempt, picker = ended
         if picker is not None:
-            rules.tell_answer(now, picker, call, attempt, message)
+            rules.report_answer(now, picker, call, attempt, message)
         call.note(now, attempt, "answered", message["waited_us"], message["served_us"])
         response = Response(message["status"], message["headers"], message["body"])
         failed = response.status >= rules.SERVER_ERROR
@@ -135,7 +135,7 @@
             return []
         call, attempt, picker = ended
         if picker is not None:
-            rules.tell_refusal(now, picker, call, attempt, message)
+            rules.report_refusal(now, picker, call, attempt, message)
         call.note(now, attempt, f"{message['ran']}:{message['reason']}", 0, 0)
         if message["ran"] == "maybe":
             call.maybe = message["reason"]
@@ -245,7 +245,7 @@
         state = self._services.get(call.service)
         if state is None:
             return self._give_up(now, call, "service-removed", 0.0)
-        wait_s = rules.park_s(now, call, state)
+        wait_s = rules.max_park_s(now, call, state)
         if not wait_s:
             return self._give_up(now, call, NO_CONNECTION, 1.0)
         self._calls.park(call)
@@ -297,7 +297,7 @@
             if pick.reason == NO_CONNECTION and not call.tries:
                 return self._park(now, call)
             return self._give_up(now, call, first_reason or pick.reason, pick.retry_after_s)
-        if call.deadline - now < rules.LEAST_BUDGET_S:
+        if call.deadline - now < rules.MIN_BUDGET_S:
             return self._give_up(now, call, "deadline-passed", 0.0)
         seq = self._calls.next_seq()
         call.tries += 1
--- a/foldhoist/delivery/repeats.py
+++ b/foldhoist/delivery/repeats.py
@@ -4,7 +4,7 @@
 
 from foldhoist.admission.fading import FadingShare
 
-KEPT_S = 1.0
+DECAY_S = 1.0
 """A call counts by 1/e after this long, seconds: about ten times a call's work.
 
 An upstream makes its calls soon after it was called itself.
@@ -19,7 +19,7 @@
     """
 
     def __init__(self) -> None:
-        self._started = FadingShare(0.0, KEPT_S)
+        self._started = FadingShare(0.0, DECAY_S)
 
     def started(self, now: float, repeat: float) -> None:
         """Count a call that went to the upstream; `repeat` is how likely it is one, 0 to 1."""
--- a/foldhoist/delivery/rules.py
+++ b/foldhoist/delivery/rules.py
@@ -20,18 +20,18 @@
     from foldhoist.routing.routes import Routed
     from foldhoist.schema.messages import Answer, Refusal
 
-MOST_REFUSALS = 3
+MAX_REFUSALS = 3
 """Owners that may refuse a call before it is given up."""
 SERVER_ERROR = 500
 """Statuses from this on count against an upstream."""
-LEAST_BUDGET_S = 0.001
+MIN_BUDGET_S = 0.001
 """A call with less time left than this is not dispatched, seconds."""
-REMOTE_SHARE = 0.4
+REMOTE_COST_SHARE = 0.4
 """What another data centre costs beside the time of a call, as a share of its objective."""
-REMOTE_SHARE_KB = 0.08
+REMOTE_COST_SHARE_PER_KB = 0.08
 """What each kilobyte of the call's bodies adds to that share."""
 
-PARK_S = 0.3
+MAX_PARK_S = 0.3
 """Longest wait of a call for a first connection to an owner, seconds."""
 
 
@@ -49,7 +49,7 @@
     return state.cfg["hedge_ms"] / 1000 or hedge_after(call.objective_s, expect_s)
 
 
-def park_s(now: float, call: Call, state: ServiceState) -> float:
+def max_park_s(now: float, call: Call, state: ServiceState) -> float:
     """Return how long a call may wait for a first connection to an owner, seconds.
 
     Nothing is offered to it meanwhile, so it is sent back at once where no upstream is known.
@@ -58,7 +58,7 @@
         return 0.0
     due = call.arrived + call.objective_s if call.objective_s else call.deadline
     expect_s = state.picker.times.mean(call.route)
-    return max(0.0, min(PARK_S, latest_start(now, due, call.deadline, expect_s) - now))
+    return max(0.0, min(MAX_PARK_S, latest_start(now, due, call.deadline, expect_s) - now))
 
 
 def may_retry(now: float, call: Call, state: ServiceState | None, count: Counters) -> bool:
@@ -74,9 +74,9 @@
         return False
     attempts = call.attempts_allowed or state.cfg["attempts"]
     refusals = call.tries - call.arrivals
-    if call.arrivals >= attempts or refusals > MOST_REFUSALS:
+    if call.arrivals >= attempts or refusals > MAX_REFUSALS:
         return False
-    if now + LEAST_BUDGET_S >= call.deadline:
+    if now + MIN_BUDGET_S >= call.deadline:
         return False
     if isinstance(state.picker.pick(now, call.excluded, explain=False), NoChoice):
         return False
@@ -93,7 +93,7 @@
     if state is None:
         return NoChoice("service-removed", 0.0)
     if call.req.key:
-        return home_of_key(call, state, up)
+        return choose_key_home(call, state, up)
     remote_s = remote_cost_s(call, state)
     return state.picker.pick(now, call.excluded, explain, call.route, remote_s)
 
@@ -112,7 +112,7 @@
     if not call.objective_s:
         return REMOTE_COST_S
     kilobytes = state.picker.times.size(call.route) / 1000
-    return call.objective_s * (REMOTE_SHARE + REMOTE_SHARE_KB * kilobytes)
+    return call.objective_s * (REMOTE_COST_SHARE + REMOTE_COST_SHARE_PER_KB * kilobytes)
 
 
 def owners_for(call: Call, state: ServiceState) -> tuple[str, ...]:
@@ -123,7 +123,7 @@
     return (name,) if name else ()
 
 
-def home_of_key(call: Call, state: ServiceState, up: Container[str]) -> Choice | NoChoice:
+def choose_key_home(call: Call, state: ServiceState, up: Container[str]) -> Choice | NoChoice:
     """Return the home of the call's idempotency key, if it is among the connected ones."""
     name = home(state.homes, call.req.key)
     if name is None:
@@ -133,7 +133,7 @@
     return Choice(name, "home-of-the-key", ())
 
 
-def tell_answer(
+def report_answer(
     now: float, picker: Picker, call: Call, attempt: PendingAttempt, message: Answer
 ) -> None:
     """Let the picker learn from an answer."""
@@ -146,7 +146,7 @@
     )
 
 
-def tell_refusal(
+def report_refusal(
     now: float, picker: Picker, call: Call, attempt: PendingAttempt, message: Refusal
 ) -> None:
     """Let the picker learn from a refusal; one of a key says nothing of the upstream's room."""
--- a/foldhoist/delivery/services.py
+++ b/foldhoist/delivery/services.py
@@ -19,23 +19,23 @@
     from foldhoist.routing.routes import Routed
     from foldhoist.schema.fleet import Fleet, Service
 
-HELD_SHARE = 0.4
+SLACK_CAPACITY_SHARE = 0.4
 """Share of the retries allowed beside a share of calls that all daemons together may hold.
 
 With the default of 20 and few daemons each begins with one, so that its first call may be retried.
 """
-GAINED_SHARE = 0.1
+SLACK_REFILL_SHARE = 0.1
 """Share of these that all daemons together gain in a window.
 
 What is left of the slack is for what chance and uneven debts of daemons add along a chain: with 0.2
 the last of 29 services got up to 4 arrivals too many in 10 s, counted on simulated time.
 """
-ANNOUNCED_S = 2.0
+ANNOUNCEMENT_TIMEOUT_S = 2.0
 """A service of which no upstream was heard for this long has none, seconds.
 
 Upstreams announce themselves about every 1.5 s on the deployments known.
 """
-FEWEST_DAEMONS = 8
+MIN_DAEMONS = 8
 """A daemon that knows fewer others may not know all of them, and takes no larger part."""
 
 
@@ -48,9 +48,9 @@
 
     def part(self, daemons: int) -> SlackPart:
         """Return the part of each of so many daemons."""
-        attempts = self.attempts / max(FEWEST_DAEMONS, daemons)
-        per_s = attempts * GAINED_SHARE / self.window_s
-        return SlackPart(attempts * HELD_SHARE, per_s, self.window_s)
+        attempts = self.attempts / max(MIN_DAEMONS, daemons)
+        per_s = attempts * SLACK_REFILL_SHARE / self.window_s
+        return SlackPart(attempts * SLACK_CAPACITY_SHARE, per_s, self.window_s)
 
 
 class ServiceState:
@@ -75,7 +75,7 @@
 
     def may_appear(self, now: float) -> bool:
         """Return whether an upstream can be hoped for: one is known, or was a moment ago."""
-        return self.missing_since is None or now - self.missing_since < ANNOUNCED_S
+        return self.missing_since is None or now - self.missing_since < ANNOUNCEMENT_TIMEOUT_S
 
 
 class Services:
--- a/tests/unit/delivery/test_ingress.py
+++ b/tests/unit/delivery/test_ingress.py
@@ -10,8 +10,8 @@
 from foldhoist.config.fleet import parse_fleet
 from foldhoist.delivery.call import CallerRequest, Reply, SendTo
 from foldhoist.delivery.ingress import Ingress
-from foldhoist.delivery.rules import PARK_S
-from foldhoist.delivery.services import ANNOUNCED_S
+from foldhoist.delivery.rules import MAX_PARK_S
+from foldhoist.delivery.services import ANNOUNCEMENT_TIMEOUT_S
 from foldhoist.delivery.verdict import Answered, MayHaveRun, NotRun
 from foldhoist.membership.view import homes, tracked
 from foldhoist.quarantine.identity import identity_of
@@ -161,10 +161,10 @@
 def test_a_parked_call_is_held_while_it_can_still_be_on_time() -> None:
     for budget_s, objective_ms, usual_s, longest_s in (
         (0.2, 0, 0.0, 0.2),
-        (9.0, 0, 0.0, PARK_S),
+        (9.0, 0, 0.0, MAX_PARK_S),
         (9.0, 200, 0.0, 0.2),
         (9.0, 200, 0.1, 0.2 - 0.1 * ROOM),
-        (9.0, 200, 0.5, PARK_S),
+        (9.0, 200, 0.5, MAX_PARK_S),
     ):
         ingress = make(linked=False, objective_ms=objective_ms)
         for _ in range(10 if usual_s else 0):
@@ -178,7 +178,7 @@
     ingress = make(linked=False)
     ingress.track(1.0, {})
     assert replies(ingress.arrive(1.1, 1, request())) == []
-    ended = replies(ingress.arrive(1.0 + ANNOUNCED_S, 2, request()))
+    ended = replies(ingress.arrive(1.0 + ANNOUNCEMENT_TIMEOUT_S, 2, request()))
     assert ended == [NotRun("no-upstream-connected", 1.0)]
     ingress.track(9.0, {"depo": [Member("depo-1", "a", 4)]})
     assert replies(ingress.arrive(9.1, 3, request())) == []
--- a/tests/unit/delivery/test_repeats.py
+++ b/tests/unit/delivery/test_repeats.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from foldhoist.delivery.dispatch import Ticket
-from foldhoist.delivery.repeats import KEPT_S, StartedRepeats
+from foldhoist.delivery.repeats import DECAY_S, StartedRepeats
 from foldhoist.delivery.tickets import Tickets
 from tests.unit.daemon.calls import dispatch_of
 
@@ -14,7 +14,7 @@
     for number in range(1000):
         repeats.started(number * 0.01, float(number % 4 == 0))
     assert 0.2 < repeats.share < 0.3
-    for number in range(1000, 1000 + int(500 * KEPT_S)):
+    for number in range(1000, 1000 + int(500 * DECAY_S)):
         repeats.started(number * 0.01, 0.0)
     assert repeats.share < 0.01
 
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -74,8 +74,8 @@
     Ablation(
         "other-owners-after-refusals",
         "foldhoist/delivery/rules.py",
-        "MOST_REFUSALS = 3",
-        "MOST_REFUSALS = 0",
+        "MAX_REFUSALS = 3",
+        "MAX_REFUSALS = 0",
     ),
     Ablation(
         "distance",
@@ -110,8 +110,8 @@
     Ablation(
         "retry-slack",
         "foldhoist/delivery/services.py",
-        "HELD_SHARE = 0.4",
-        "HELD_SHARE = 0.0",
+        "SLACK_CAPACITY_SHARE = 0.4",
+        "SLACK_CAPACITY_SHARE = 0.0",
     ),
     Ablation(
         "slots-below-the-knee",
