--- a/foldhoist/daemon/ingress_task.py
+++ b/foldhoist/daemon/ingress_task.py
@@ -64,7 +64,7 @@
         """Take in that a caller left before its answer."""
         if self._callers.pop(call_id, None) is None:
             return
-        self._carry_out(self.ingress.caller_gone(self._loop.time(), call_id))
+        self._carry_out(self.ingress.caller_disconnected(self._loop.time(), call_id))
 
     def message(self, target: str, kind: str, body: Any) -> None:
         """Take in a frame of an owner."""
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -331,14 +331,14 @@
         if self.versions.fleet is not None:
             self._bound_cold(self.versions.fleet)
         if replaced:
-            self.ingress_task.ingress.replaced(now, self.name)
+            self.ingress_task.ingress.upstream_replaced(now, self.name)
         self._track()
         self._tell_all()
 
     def _on_peers(self, changed: list[str]) -> None:
         now = asyncio.get_running_loop().time()
         for name in changed:
-            self.ingress_task.ingress.replaced(now, name)
+            self.ingress_task.ingress.upstream_replaced(now, name)
 
     def _on_seats(self, hosts: frozenset[str]) -> None:
         """Keep connections to the hosts that keep quotas."""
--- a/foldhoist/delivery/call.py
+++ b/foldhoist/delivery/call.py
@@ -179,28 +179,28 @@
     """A call that has no final answer yet; times are monotonic seconds."""
 
     __slots__ = (
+        "admitted",
         "arrivals",
         "arrived",
         "attempts",
         "attempts_allowed",
-        "begun",
         "bulk",
+        "cached_identity",
         "call_id",
         "customer",
         "deadline",
+        "dispatches",
         "excluded",
         "failure",
-        "identity_known",
-        "maybe",
+        "may_have_run_reason",
         "objective_s",
+        "over_burst",
         "pending",
         "rank",
         "repeatable",
         "req",
         "route",
-        "scarce",
         "service",
-        "tries",
         "urgent",
     )
 
@@ -215,8 +215,8 @@
     ) -> None:
         self.call_id = call_id
         self.customer = customer
-        self.scarce = False
-        self.begun = False
+        self.over_burst = False
+        self.admitted = False
         self.bulk = routed.bulk
         self.req = req
         self.service = routed.service
@@ -231,21 +231,21 @@
         self.attempts_allowed = routed.attempts
         self.rank = routed.rank
         self.objective_s = routed.objective_s
-        self.tries = 0
+        self.dispatches = 0
         self.arrivals = 0
-        self.maybe = ""
+        self.may_have_run_reason = ""
         self.failure: Response | None = None
-        self.identity_known = ""
+        self.cached_identity = ""
 
     @property
     def identity(self) -> str:
         """Return by what the call is known when it comes again; it is worked out once."""
-        if not self.identity_known:
+        if not self.cached_identity:
             req = self.req
-            self.identity_known = identity_of(
+            self.cached_identity = identity_of(
                 req.method, req.path, req.headers, req.body, req.caller
             )
-        return self.identity_known
+        return self.cached_identity
 
     def note(
         self, now: float, attempt: PendingAttempt, result: str, waited_us: int, served_us: int
@@ -265,7 +265,7 @@
         self.attempts.append(ended)
 
 
-def record_of(call: Call, now: float, verdict: Verdict, generation: int) -> Record:
+def make_record(call: Call, now: float, verdict: Verdict, generation: int) -> Record:
     """Return the story of a call that ends now."""
     match verdict:
         case Answered(response):
--- a/foldhoist/delivery/ingress.py
+++ b/foldhoist/delivery/ingress.py
@@ -21,7 +21,7 @@
     Reply,
     SendTo,
     Timer,
-    record_of,
+    make_record,
 )
 from foldhoist.delivery.call_table import CallTable
 from foldhoist.delivery.outgoing import dispatch_of
@@ -65,8 +65,8 @@
         self.intake = RequestIntake(self.admission, self._services)
         self._calls = CallTable()
         self.gate = QuotaGate(self._calls, self.count, rng)
-        self._linked: dict[str, str] = {}
-        self._up: set[str] = set()
+        self._incarnations: dict[str, str] = {}
+        self._connected: set[str] = set()
 
     # What the tasks tell it
 
@@ -84,18 +84,18 @@
         self.intake.adopt(fleet)
         self._services.adopt(fleet, homes)
         passed = self.gate.adopt(now, self.intake.customers)
-        return [*self.track(now, tracked, daemons), *self._pass(now, passed)]
+        return [*self.track(now, tracked, daemons), *self._apply_gate(now, passed)]
 
     def track(
         self, now: float, tracked: Mapping[str, list[Member]], daemons: int = 1
     ) -> list[Action]:
         """Take over the upstreams to choose from; `daemons` share what may be retried."""
-        self._services.track(now, tracked, self._up, daemons)
+        self._services.track(now, tracked, self._connected, daemons)
         return self._unpark(now)
 
-    def replaced(self, now: float, target: str) -> None:
+    def upstream_replaced(self, now: float, target: str) -> None:
         """Take in that another upstream stands where this one stood."""
-        self._services.linked(now, target, target in self._up, fresh=True)
+        self._services.linked(now, target, target in self._connected, fresh=True)
 
     def arrive(self, now: float, call_id: int, req: CallerRequest) -> list[Action]:
         """Take in a request of a caller."""
@@ -106,11 +106,11 @@
         call = entry.call
         self._calls.add(call)
         self._calls.schedule(call.deadline, call, Timer.EXPIRE)
-        return self._pass(now, self.gate.enter(now, call))
+        return self._apply_gate(now, self.gate.enter(now, call))
 
     def credited(self, now: float, message: Credit) -> list[Action]:
         """Take in what a keeper lends of a customer's quota."""
-        return self._pass(now, self.gate.credited(now, message))
+        return self._apply_gate(now, self.gate.credited(now, message))
 
     def answer(self, now: float, target: str, message: Answer) -> list[Action]:
         """Take in an owner's answer; a late one is counted and dropped."""
@@ -125,7 +125,7 @@
         failed = response.status >= rules.SERVER_ERROR
         if failed and call.repeatable and not call.req.key:
             call.failure = response
-            return self._go_on(now, call, "upstream-failed", 0.0)
+            return self._retry_or_finish(now, call, "upstream-failed", 0.0)
         return self._finish(now, call, Answered(response))
 
     def refusal(self, now: float, target: str, message: Refusal) -> list[Action]:
@@ -138,12 +138,12 @@
             rules.report_refusal(now, picker, call, attempt, message)
         call.note(now, attempt, f"{message['ran']}:{message['reason']}", 0, 0)
         if message["ran"] == "maybe":
-            call.maybe = message["reason"]
+            call.may_have_run_reason = message["reason"]
         elif message.get("reached", False):
             self.count.turned_away += 1
         else:
             call.arrivals -= 1
-        return self._go_on(now, call, message["reason"], message["retry_after_ms"] / 1000)
+        return self._retry_or_finish(now, call, message["reason"], message["retry_after_ms"] / 1000)
 
     def report(self, now: float, target: str, message: Report) -> None:
         """Take in a report that an owner sent by itself."""
@@ -152,18 +152,18 @@
 
     def link_up(self, now: float, target: str, incarnation: str) -> list[Action]:
         """Take in a new connection to an owner; ask for the fate of calls of an older one."""
-        fresh = self._linked.get(target) != incarnation
-        self._linked[target] = incarnation
-        self._up.add(target)
+        fresh = self._incarnations.get(target) != incarnation
+        self._incarnations[target] = incarnation
+        self._connected.add(target)
         self.gate.linked(now, target, up=True)
         self._services.linked(now, target, True, fresh)
         return [*self._ask_fate(now, target, fresh), *self._unpark(now)]
 
     def link_closing(self, now: float, target: str) -> list[Action]:
         """Take in that an owner takes no more calls; it still answers those that it has."""
-        self._up.discard(target)
+        self._connected.discard(target)
         self._services.linked(now, target, False, fresh=False)
-        return self._pass(now, self.gate.linked(now, target, up=False))
+        return self._apply_gate(now, self.gate.linked(now, target, up=False))
 
     def link_lost(self, now: float, target: str) -> list[Action]:
         """Take in that a connection to an owner fell."""
@@ -172,7 +172,7 @@
             if attempt.fate_due:
                 continue
             if call.repeatable and not call.req.key:
-                actions += self._lose(now, call, attempt, "owner-connection-lost")
+                actions += self._attempt_lost(now, call, attempt, "owner-connection-lost")
                 continue
             attempt.fate_due = now + FATE_TIMEOUT_S
             self._calls.schedule(min(attempt.fate_due, call.deadline), call, Timer.FATE_TIMEOUT)
@@ -180,9 +180,9 @@
 
     def link_refused(self, now: float, target: str) -> list[Action]:
         """Take in that the owner's process is gone: nobody can say what became of its calls."""
-        return self._end_asking(now, target, "owner-gone")
+        return self._end_awaiting_fate(now, target, "owner-gone")
 
-    def caller_gone(self, now: float, call_id: int) -> list[Action]:
+    def caller_disconnected(self, now: float, call_id: int) -> list[Action]:
         """Take in that a caller has closed its connection: nobody waits for the call."""
         call = self._calls.remove(call_id)
         if call is None:
@@ -193,7 +193,7 @@
 
     def tick(self, now: float) -> list[Action]:
         """Give the final answer to calls whose time is up, and send hedges."""
-        actions = self._pass(now, self.gate.tick(now))
+        actions = self._apply_gate(now, self.gate.tick(now))
         for call, kind in self._calls.due(now):
             actions += self._on_timer(now, call, kind)
         return actions
@@ -236,7 +236,7 @@
             case Timer.HEDGE:
                 return self._hedge(now, call)
             case Timer.FATE_TIMEOUT:
-                return self._end_unasked(now, call)
+                return self._end_fate_timeouts(now, call)
             case Timer.PARK_TIMEOUT if self._calls.unpark(call.call_id):
                 return self._give_up(now, call, NO_CONNECTION, 1.0)
         return []
@@ -263,9 +263,9 @@
         call, verdict = entry
         self.count.not_run += 1
         self.count.unidentified += verdict.status == UNAUTHORIZED
-        return Reply(call.call_id, verdict, record_of(call, now, verdict, self.generation))
+        return Reply(call.call_id, verdict, make_record(call, now, verdict, self.generation))
 
-    def _pass(self, now: float, passed: list[Passed]) -> list[Action]:
+    def _apply_gate(self, now: float, passed: list[Passed]) -> list[Action]:
         """Carry out what was decided on calls of customers with quotas."""
         actions: list[Action] = []
         for each in passed:
@@ -283,7 +283,7 @@
         state = self._services.get(call.service)
         if state is None:
             return self._give_up(now, call, "service-removed", 1.0)
-        call.begun = True
+        call.admitted = True
         state.budget.call(now, call.req.repeat)
         actions = self._attempt(now, call)
         if hedge_s := rules.hedge_after_s(call, state):
@@ -292,15 +292,15 @@
 
     def _attempt(self, now: float, call: Call, first_reason: str = "") -> list[Action]:
         state = self._services.get(call.service)
-        pick = rules.pick(now, call, state, self._up, explain=self.explain)
+        pick = rules.pick(now, call, state, self._connected, explain=self.explain)
         if isinstance(pick, NoChoice):
-            if pick.reason == NO_CONNECTION and not call.tries:
+            if pick.reason == NO_CONNECTION and not call.dispatches:
                 return self._park(now, call)
             return self._give_up(now, call, first_reason or pick.reason, pick.retry_after_s)
         if call.deadline - now < rules.MIN_BUDGET_S:
             return self._give_up(now, call, "deadline-passed", 0.0)
         seq = self._calls.next_seq()
-        call.tries += 1
+        call.dispatches += 1
         call.arrivals += 1
         call.excluded.add(pick.name)
         call.pending[seq] = PendingAttempt(seq, pick.name, pick, now)
@@ -312,7 +312,9 @@
         message = dispatch_of(now, call, seq, acked, self.generation, expected_s)
         return [SendTo(pick.name, Outgoing("Dispatch", message))]
 
-    def _go_on(self, now: float, call: Call, reason: str, retry_after_s: float) -> list[Action]:
+    def _retry_or_finish(
+        self, now: float, call: Call, reason: str, retry_after_s: float
+    ) -> list[Action]:
         if call.pending:
             return []
         if quarantined_s := self.admission.quarantined_s(now, call):
@@ -337,7 +339,7 @@
         return self._finish(now, call, rules.last_verdict(call, NotRun(reason, retry_after_s)))
 
     def _expire(self, now: float, call: Call) -> list[Action]:
-        if call.failure is None and (call.pending or call.maybe):
+        if call.failure is None and (call.pending or call.may_have_run_reason):
             return self._finish(now, call, MayHaveRun("deadline-passed", status=504))
         not_run = NotRun("deadline-passed", 0.0, status=504)
         return self._finish(now, call, rules.last_verdict(call, not_run))
@@ -349,7 +351,7 @@
             call.note(now, attempt, "withdrawn", 0, 0)
         self.count.ended(verdict)
         self.gate.ended(now, call, ran=not isinstance(verdict, NotRun))
-        reply = Reply(call.call_id, verdict, record_of(call, now, verdict, self.generation))
+        reply = Reply(call.call_id, verdict, make_record(call, now, verdict, self.generation))
         return [reply, *self._withdraw_all(now, call)]
 
     def _withdraw_all(self, now: float, call: Call) -> list[Action]:
@@ -368,30 +370,32 @@
         if not asked:
             return []
         if fresh:
-            return self._end_asking(now, target, "owner-restarted")
+            return self._end_awaiting_fate(now, target, "owner-restarted")
         self.count.fate_asked += len(asked)
         seqs = [attempt.seq for _, attempt in asked]
         return [SendTo(target, Outgoing("FateAsk", {"seqs": seqs}))]
 
-    def _end_asking(self, now: float, target: str, reason: str) -> list[Action]:
+    def _end_awaiting_fate(self, now: float, target: str, reason: str) -> list[Action]:
         actions: list[Action] = []
         for call, attempt in self._calls.awaiting_fate(target):
-            actions += self._lose(now, call, attempt, reason)
+            actions += self._attempt_lost(now, call, attempt, reason)
         return actions
 
-    def _end_unasked(self, now: float, call: Call) -> list[Action]:
+    def _end_fate_timeouts(self, now: float, call: Call) -> list[Action]:
         actions: list[Action] = []
         for attempt in list(call.pending.values()):
             if attempt.fate_due and now >= attempt.fate_due:
-                actions += self._lose(now, call, attempt, "owner-unreachable")
+                actions += self._attempt_lost(now, call, attempt, "owner-unreachable")
         return actions
 
-    def _lose(self, now: float, call: Call, attempt: PendingAttempt, reason: str) -> list[Action]:
+    def _attempt_lost(
+        self, now: float, call: Call, attempt: PendingAttempt, reason: str
+    ) -> list[Action]:
         call.pending.pop(attempt.seq, None)
         self._calls.by_seq.pop(attempt.seq, None)
         state = self._services.get(call.service)
         if state is not None:
             state.picker.lost(attempt.target, attempt.seq, now)
-        call.maybe = reason
+        call.may_have_run_reason = reason
         call.note(now, attempt, f"maybe:{reason}", 0, 0)
-        return self._go_on(now, call, reason, 0.5)
+        return self._retry_or_finish(now, call, reason, 0.5)
--- a/foldhoist/delivery/outgoing.py
+++ b/foldhoist/delivery/outgoing.py
@@ -52,7 +52,7 @@
         message["repeat_percent"] = round(100 * req.repeat)
     if call.customer is not None:
         message["customer"] = call.customer.name
-    if call.scarce:
+    if call.over_burst:
         message["scarce"] = True
     if call.bulk:
         message["bulk"] = True
--- a/foldhoist/delivery/quota_gate.py
+++ b/foldhoist/delivery/quota_gate.py
@@ -77,7 +77,7 @@
         """Take back the credit of a call that did not run, or its wait for some."""
         if call.customer is None or not call.customer.limited:
             return
-        if not call.begun:
+        if not call.admitted:
             self.credits.withdraw(call.customer, call.call_id)
         elif not ran:
             self.credits.give_back(now, call.customer)
@@ -90,10 +90,10 @@
             match step:
                 case Ask(keeper, message):
                     passed.append(SendTo(keeper, Outgoing("CreditAsk", message)))
-                case Granted(call_id, scarce):
+                case Granted(call_id, over_burst):
                     call = self._calls.get(call_id)
                     if call is not None:
-                        call.scarce = scarce
+                        call.over_burst = over_burst
                         passed.append(Begin(call))
                 case Denied(call_id, reason, again_s):
                     call = self._calls.get(call_id)
--- a/foldhoist/delivery/rules.py
+++ b/foldhoist/delivery/rules.py
@@ -70,10 +70,10 @@
     """
     if state is None or call.req.key or call.req.retried:
         return False
-    if call.maybe and not call.repeatable:
+    if call.may_have_run_reason and not call.repeatable:
         return False
     attempts = call.attempts_allowed or state.cfg["attempts"]
-    refusals = call.tries - call.arrivals
+    refusals = call.dispatches - call.arrivals
     if call.arrivals >= attempts or refusals > MAX_REFUSALS:
         return False
     if now + MIN_BUDGET_S >= call.deadline:
@@ -102,8 +102,8 @@
     """Return the final answer of a call that is not sent again: `not_run` if it never ran."""
     if call.failure is not None:
         return Answered(call.failure)
-    if call.maybe:
-        return MayHaveRun(call.maybe)
+    if call.may_have_run_reason:
+        return MayHaveRun(call.may_have_run_reason)
     return not_run
 
 
--- a/tests/unit/delivery/test_quota_gate.py
+++ b/tests/unit/delivery/test_quota_gate.py
@@ -87,7 +87,7 @@
     ingress = limited()
     (ask,) = asked(call(ingress, 1.0, 1))
     (sent,) = dispatched(ingress.credited(1.01, credit(ask, 1)))
-    ingress.caller_gone(1.02, 1)
+    ingress.caller_disconnected(1.02, 1)
     assert isinstance(sent.frame, Outgoing)
     assert asked(call(ingress, 1.1, 2))
 
@@ -106,7 +106,7 @@
 def test_a_caller_that_leaves_while_its_call_waits_takes_nothing() -> None:
     ingress = limited()
     (ask,) = asked(call(ingress, 1.0, 1))
-    ingress.caller_gone(1.005, 1)
+    ingress.caller_disconnected(1.005, 1)
     assert dispatched(ingress.credited(1.01, credit(ask, 1))) == []
     assert dispatched(call(ingress, 1.02, 2))
 
@@ -139,7 +139,7 @@
     call(ingress, 1.0, 1)
     _, second = asked(ingress.tick(1.3))
     ingress.tick(1.6)
-    for name in ingress._up - {second.target}:
+    for name in ingress._connected - {second.target}:
         ingress.link_lost(1.7, name)
     for number in range(2, 34):
         now = 1.7 + number / 10
