--- a/foldhoist/delivery/call.py
+++ b/foldhoist/delivery/call.py
@@ -56,7 +56,7 @@
         return self.parent_repeat if self.retried is None else float(self.retried)
 
 
-class Outgoing(NamedTuple):
+class OwnerFrame(NamedTuple):
     """A message to an owner: its kind and its fields."""
 
     kind: str
@@ -67,7 +67,7 @@
     """Write a frame to the owner of this name."""
 
     target: str
-    frame: Outgoing
+    frame: OwnerFrame
 
 
 class Reply(NamedTuple):
--- a/foldhoist/delivery/claims.py
+++ b/foldhoist/delivery/claims.py
@@ -26,9 +26,11 @@
         self, now: float, wall_ms: int, peer: Peer, req: Dispatch, load: Load
     ) -> list[Action] | None:
         """Return what answers a call whose key is known, None if this one is to run."""
-        mark = fingerprint(req["method"], req["path"], req["body"])
+        request_fingerprint = fingerprint(req["method"], req["path"], req["body"])
         seq = req["seq"]
-        claim = self._keys.claim(now, wall_ms, req["key"], req["key_issued_ms"], mark)
+        claim = self._keys.claim(
+            now, wall_ms, req["key"], req["key_issued_ms"], request_fingerprint
+        )
         match claim:
             case Deny():
                 self._count.key_denied += 1
--- a/foldhoist/delivery/dispatch.py
+++ b/foldhoist/delivery/dispatch.py
@@ -161,10 +161,10 @@
 
     __slots__ = (
         "epoch",
-        "forgotten",
         "incarnation",
         "kept",
         "kept_bytes",
+        "last_forgotten_seq",
         "link",
         "live",
         "lost_at",
@@ -180,7 +180,7 @@
         self.live: dict[int, int] = {}
         self.kept: OrderedDict[int, Frame] = OrderedDict()
         self.kept_bytes = 0
-        self.forgotten = 0
+        self.last_forgotten_seq = 0
         self.lost_at = 0.0
         self.used_at = 0.0
 
@@ -191,7 +191,6 @@
     __slots__ = (
         "ahead",
         "arrived",
-        "beside",
         "deadline",
         "incarnation",
         "key",
@@ -199,6 +198,7 @@
         "repeat",
         "request",
         "running",
+        "running_at_start",
         "start_by",
         "started",
     )
@@ -214,7 +214,7 @@
         self.running = False
         self.started = 0.0
         self.ahead = 0
-        self.beside = 0
+        self.running_at_start = 0
         self.key = request["key"]
         self.rank = request.get("rank", NO_RANK)
         self.repeat = 1.0 if request["retried"] else request.get("repeat_percent", 0) / 100
--- a/foldhoist/delivery/outgoing.py
+++ b/foldhoist/delivery/dispatch_message.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from foldhoist.delivery.keys import issued_by_uuid7
+from foldhoist.delivery.keys import uuid7_issued_ms
 from foldhoist.routing.routes import NO_RANK
 
 if TYPE_CHECKING:
@@ -15,7 +15,7 @@
 """The owner is given this much less than is left, so that its refusal comes in time, seconds."""
 
 
-def dispatch_of(
+def dispatch_message(
     now: float, call: Call, seq: int, acked: int, generation: int, expected_s: float
 ) -> Dispatch:
     """Return the message of an attempt; `expected_s` is how long such a call takes."""
@@ -34,7 +34,7 @@
         "urgent": call.urgent,
         "repeatable": call.repeatable,
         "key": req.key,
-        "key_issued_ms": req.key_issued_ms or issued_by_uuid7(req.key),
+        "key_issued_ms": req.key_issued_ms or uuid7_issued_ms(req.key),
         "generation": generation,
         "hops": req.hops,
         "retried": bool(req.retried) or call.arrivals > 1,
--- a/foldhoist/delivery/ingress.py
+++ b/foldhoist/delivery/ingress.py
@@ -16,7 +16,7 @@
     CallerRequest,
     Connect,
     Counters,
-    Outgoing,
+    OwnerFrame,
     PendingAttempt,
     Reply,
     SendTo,
@@ -24,7 +24,7 @@
     make_record,
 )
 from foldhoist.delivery.call_table import CallTable
-from foldhoist.delivery.outgoing import dispatch_of
+from foldhoist.delivery.dispatch_message import dispatch_message
 from foldhoist.delivery.quota_gate import Begin, QuotaGate, Refuse
 from foldhoist.delivery.request_intake import UNAUTHORIZED, RejectedRequest, RequestIntake
 from foldhoist.delivery.services import RetrySlack, Services
@@ -36,7 +36,7 @@
     from collections.abc import Mapping
     from random import Random
 
-    from foldhoist.delivery.quota_gate import Passed
+    from foldhoist.delivery.quota_gate import GateAction
     from foldhoist.quarantine.table import Quarantine
     from foldhoist.routing.picker import Member
     from foldhoist.schema.fleet import Fleet
@@ -83,8 +83,8 @@
         self.generation = generation
         self.intake.adopt(fleet)
         self._services.adopt(fleet, homes)
-        passed = self.gate.adopt(now, self.intake.customers)
-        return [*self.track(now, tracked, daemons), *self._apply_gate(now, passed)]
+        decided = self.gate.adopt(now, self.intake.customers)
+        return [*self.track(now, tracked, daemons), *self._apply_gate(now, decided)]
 
     def track(
         self, now: float, tracked: Mapping[str, list[Member]], daemons: int = 1
@@ -125,7 +125,7 @@
         failed = response.status >= rules.SERVER_ERROR
         if failed and call.repeatable and not call.req.key:
             call.failure = response
-            return self._retry_or_finish(now, call, "upstream-failed", 0.0)
+            return self._retry(now, call, "upstream-failed", 0.0)
         return self._finish(now, call, Answered(response))
 
     def refusal(self, now: float, target: str, message: Refusal) -> list[Action]:
@@ -143,7 +143,7 @@
             self.count.turned_away += 1
         else:
             call.arrivals -= 1
-        return self._retry_or_finish(now, call, message["reason"], message["retry_after_ms"] / 1000)
+        return self._retry(now, call, message["reason"], message["retry_after_ms"] / 1000)
 
     def report(self, now: float, target: str, message: Report) -> None:
         """Take in a report that an owner sent by itself."""
@@ -265,10 +265,10 @@
         self.count.unidentified += verdict.status == UNAUTHORIZED
         return Reply(call.call_id, verdict, make_record(call, now, verdict, self.generation))
 
-    def _apply_gate(self, now: float, passed: list[Passed]) -> list[Action]:
+    def _apply_gate(self, now: float, decided: list[GateAction]) -> list[Action]:
         """Carry out what was decided on calls of customers with quotas."""
         actions: list[Action] = []
-        for each in passed:
+        for each in decided:
             match each:
                 case Begin(call):
                     actions += self._begin(now, call)
@@ -309,12 +309,10 @@
             state.picker.sent(pick.name, seq, now)
         acked = self._calls.oldest_seq(seq)
         expected_s = state.picker.times.mean(call.route) if state is not None else 0.0
-        message = dispatch_of(now, call, seq, acked, self.generation, expected_s)
-        return [SendTo(pick.name, Outgoing("Dispatch", message))]
+        message = dispatch_message(now, call, seq, acked, self.generation, expected_s)
+        return [SendTo(pick.name, OwnerFrame("Dispatch", message))]
 
-    def _retry_or_finish(
-        self, now: float, call: Call, reason: str, retry_after_s: float
-    ) -> list[Action]:
+    def _retry(self, now: float, call: Call, reason: str, retry_after_s: float) -> list[Action]:
         if call.pending:
             return []
         if quarantined_s := self.admission.quarantined_s(now, call):
@@ -361,7 +359,7 @@
             self._calls.by_seq.pop(seq, None)
             if state is not None:
                 state.picker.abandoned(attempt.target, seq, now)
-            actions.append(SendTo(attempt.target, Outgoing("Withdraw", {"seq": seq})))
+            actions.append(SendTo(attempt.target, OwnerFrame("Withdraw", {"seq": seq})))
         call.pending = {}
         return actions
 
@@ -373,7 +371,7 @@
             return self._end_awaiting_fate(now, target, "owner-restarted")
         self.count.fate_asked += len(asked)
         seqs = [attempt.seq for _, attempt in asked]
-        return [SendTo(target, Outgoing("FateAsk", {"seqs": seqs}))]
+        return [SendTo(target, OwnerFrame("FateAsk", {"seqs": seqs}))]
 
     def _end_awaiting_fate(self, now: float, target: str, reason: str) -> list[Action]:
         actions: list[Action] = []
@@ -398,4 +396,4 @@
             state.picker.lost(attempt.target, attempt.seq, now)
         call.may_have_run_reason = reason
         call.note(now, attempt, f"maybe:{reason}", 0, 0)
-        return self._retry_or_finish(now, call, reason, 0.5)
+        return self._retry(now, call, reason, 0.5)
--- a/foldhoist/delivery/keys.py
+++ b/foldhoist/delivery/keys.py
@@ -22,9 +22,9 @@
 """How long a key is remembered unless a configuration says otherwise, seconds."""
 CLOCK_SKEW_MS = 2000
 """Wall clocks of two hosts are trusted to differ by less than this, milliseconds."""
-MOST_KEYS = 50_000
+MAX_KEYS = 50_000
 """Keys that one home remembers; more are refused."""
-MOST_BYTES = 32 * 1024 * 1024
+MAX_ANSWER_BYTES = 32 * 1024 * 1024
 """Bytes of answers that one home keeps for keys; with more, new keys are refused."""
 
 
@@ -54,11 +54,11 @@
 
 
 class _Entry:
-    __slots__ = ("fingerprint", "first", "response", "running")
+    __slots__ = ("claimed_at", "fingerprint", "response", "running")
 
-    def __init__(self, fingerprint: str, first: float, running: bool) -> None:
+    def __init__(self, fingerprint: str, claimed_at: float, running: bool) -> None:
         self.fingerprint = fingerprint
-        self.first = first
+        self.claimed_at = claimed_at
         self.running = running
         self.response: Response | None = None
 
@@ -71,7 +71,7 @@
     return digest.hexdigest()
 
 
-def issued_by_uuid7(key: str) -> int:
+def uuid7_issued_ms(key: str) -> int:
     """Return the wall clock in milliseconds inside a UUIDv7, or 0 if the key is none."""
     digits = key.replace("-", "")
     if len(digits) != 32 or digits[12] != "7":
@@ -90,7 +90,7 @@
         self.window_s = window_s
         self.generation = 0
         self._names: frozenset[str] | None = None
-        self._before: frozenset[str] | None = None
+        self._former_names: frozenset[str] | None = None
         self._pending: set[str] = set()
         self._own_since_ms = 0
         self._moved_since_ms = 0
@@ -123,7 +123,7 @@
             self._pending &= set(others)
             return frozenset(self._pending)
         self._own_since_ms = self.since_ms
-        self._before = self._names if followed else None
+        self._former_names = self._names if followed else None
         if not followed:
             self._own_since_ms = wall_ms
         self._moved_since_ms = self._own_since_ms
@@ -141,7 +141,7 @@
         if message["former"] not in self._pending:
             return
         self._pending.discard(message["former"])
-        if self._before is not None and message["former"] in self._before:
+        if self._former_names is not None and message["former"] in self._former_names:
             self._moved_since_ms = max(self._moved_since_ms, message["since_ms"])
         for state in message["keys"]:
             self._import(now, state)
@@ -152,28 +152,30 @@
         for key, entry in self._entries.items():
             if self._home(key) != target:
                 continue
-            states.append(_state(key, entry, now))
+            states.append(_key_state(key, entry, now))
         return states
 
-    def claim(self, now: float, wall_ms: int, key: str, issued_ms: int, mark: str) -> Claim:
-        """Decide on a call with this key; `mark` is the request's fingerprint."""
+    def claim(
+        self, now: float, wall_ms: int, key: str, issued_ms: int, request_fingerprint: str
+    ) -> Claim:
+        """Decide on a call with this key; `request_fingerprint` is by `fingerprint`."""
         if self._home(key) != self.name:
             return Deny("no", "key-has-another-home", 0.5)
         entry = self._entries.get(key)
         if entry is not None:
-            return _again(entry, mark)
-        was_home = self._before is not None and home(self._before, key) == self.name
+            return _claim_known_key(entry, request_fingerprint)
+        was_home = self._former_names is not None and home(self._former_names, key) == self.name
         if self._pending and not was_home:
             return Deny("no", "key-handover-pending", 0.5)
         since = self._own_since_ms if was_home else self._moved_since_ms
-        first = issued_ms or wall_ms - int(self.window_s * 1000)
-        if first < since + CLOCK_SKEW_MS:
+        earliest_ms = issued_ms or wall_ms - int(self.window_s * 1000)
+        if earliest_ms < since + CLOCK_SKEW_MS:
             return Deny("maybe", "key-older-than-its-home", self.window_s)
-        if first < wall_ms - self.window_s * 1000 and issued_ms:
+        if earliest_ms < wall_ms - self.window_s * 1000 and issued_ms:
             return Deny("maybe", "key-past-its-window", self.window_s)
-        if len(self._entries) >= MOST_KEYS or self._bytes >= MOST_BYTES:
+        if len(self._entries) >= MAX_KEYS or self._bytes >= MAX_ANSWER_BYTES:
             return Deny("no", "key-table-full", 1.0)
-        self._entries[key] = _Entry(mark, now, running=True)
+        self._entries[key] = _Entry(request_fingerprint, now, running=True)
         return Run()
 
     def ended(self, key: str, response: Response | None, ran: bool) -> None:
@@ -192,7 +194,7 @@
     def expire(self, now: float) -> None:
         """Forget the keys whose window has passed."""
         limit = now - self.window_s
-        old = [key for key, entry in self._entries.items() if entry.first < limit]
+        old = [key for key, entry in self._entries.items() if entry.claimed_at < limit]
         for key in old:
             entry = self._entries[key]
             if entry.running:
@@ -215,8 +217,8 @@
         self._entries[state["key"]] = entry
 
 
-def _again(entry: _Entry, mark: str) -> Claim:
-    if entry.fingerprint != mark:
+def _claim_known_key(entry: _Entry, request_fingerprint: str) -> Claim:
+    if entry.fingerprint != request_fingerprint:
         return Deny("no", "key-reused-for-another-request", 0.0)
     if entry.running:
         return Join()
@@ -225,7 +227,7 @@
     return Deny("maybe", "key-may-have-run", 0.0)
 
 
-def _state(key: str, entry: _Entry, now: float) -> KeyState:
+def _key_state(key: str, entry: _Entry, now: float) -> KeyState:
     response = entry.response
     return {
         "key": key,
@@ -234,5 +236,5 @@
         "status": response.status if response is not None else 0,
         "headers": response.headers if response is not None else [],
         "body": response.body if response is not None else b"",
-        "age_ms": int((now - entry.first) * 1000),
+        "age_ms": int((now - entry.claimed_at) * 1000),
     }
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -338,7 +338,7 @@
     def _learn_crowding(self, now: float, ticket: Ticket, served_s: float) -> None:
         if self.standing.upstream is not None:
             route = ticket.request.get("route", "")
-            self._crowding.answered(now, route, ticket.beside, served_s)
+            self._crowding.answered(now, route, ticket.running_at_start, served_s)
 
     def _use_slots(self, now: float) -> list[Action]:
         """Use as many slots of an upstream that announces itself as are worth it now."""
@@ -378,7 +378,7 @@
 
     def _start(self, now: float, ticket_id: int) -> Action:
         ticket = self.tickets.start(ticket_id, now)
-        ticket.beside = self.queue.busy
+        ticket.running_at_start = self.queue.busy
         self.count.dispatched += 1
         self.count.repeats += ticket.request["retried"]
         instance = self.standing.instance
--- a/foldhoist/delivery/peers.py
+++ b/foldhoist/delivery/peers.py
@@ -113,7 +113,7 @@
         while len(peer.kept) > KEPT_RESULTS or peer.kept_bytes > limit:
             old, dropped = peer.kept.popitem(last=False)
             peer.kept_bytes -= _size(dropped)
-            peer.forgotten = max(peer.forgotten, old)
+            peer.last_forgotten_seq = max(peer.last_forgotten_seq, old)
 
 
 def drop_acked(peer: Peer, acked: int) -> None:
@@ -127,7 +127,7 @@
 
 def fate_without_result(peer: Peer, seq: int) -> tuple[str, str]:
     """Return whether a call of which no result is kept ran ("no" or "maybe"), and why."""
-    if seq <= peer.forgotten:
+    if seq <= peer.last_forgotten_seq:
         return "maybe", "result-forgotten"
     return "no", "never-arrived"
 
--- a/foldhoist/delivery/quota_gate.py
+++ b/foldhoist/delivery/quota_gate.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, NamedTuple, TypeAlias
 
 from foldhoist.customers.credit import OVER_QUOTA, Ask, CreditBook, Denied, Granted
-from foldhoist.delivery.call import Outgoing, SendTo
+from foldhoist.delivery.call import OwnerFrame, SendTo
 from foldhoist.delivery.verdict import NotRun
 
 if TYPE_CHECKING:
@@ -17,7 +17,7 @@
     from foldhoist.delivery.call_table import CallTable
     from foldhoist.schema.messages import Credit
 
-TOO_MANY = 429
+TOO_MANY_REQUESTS = 429
 """Status of a call beyond its customer's quota."""
 UNAVAILABLE = 503
 """Status of a call of which it is not known whether it is within its customer's quota."""
@@ -36,7 +36,7 @@
     verdict: NotRun
 
 
-Passed: TypeAlias = Begin | Refuse | SendTo
+GateAction: TypeAlias = Begin | Refuse | SendTo
 
 
 class QuotaGate:
@@ -47,27 +47,27 @@
         self._calls = calls
         self._count = count
 
-    def adopt(self, now: float, directory: Directory) -> list[Passed]:
+    def adopt(self, now: float, directory: Directory) -> list[GateAction]:
         """Take over a configuration."""
-        return self._passed(self.credits.adopt(now, directory))
+        return self._actions(self.credits.adopt(now, directory))
 
-    def enter(self, now: float, call: Call) -> list[Passed]:
+    def enter(self, now: float, call: Call) -> list[GateAction]:
         """Let a call that is in the book run, wait for credit, or be refused."""
         if call.customer is None or not call.customer.limited:
             return [Begin(call)]
-        return self._passed(self.credits.take(now, call.customer, call.call_id))
+        return self._actions(self.credits.take(now, call.customer, call.call_id))
 
-    def credited(self, now: float, message: Credit) -> list[Passed]:
+    def credited(self, now: float, message: Credit) -> list[GateAction]:
         """Take in what a keeper lends."""
-        return self._passed(self.credits.answered(now, message))
+        return self._actions(self.credits.answered(now, message))
 
-    def linked(self, now: float, host: str, *, up: bool) -> list[Passed]:
+    def linked(self, now: float, host: str, *, up: bool) -> list[GateAction]:
         """Take in that a host is connected, or not any more."""
-        return self._passed(self.credits.up(now, host, up=up))
+        return self._actions(self.credits.up(now, host, up=up))
 
-    def tick(self, now: float) -> list[Passed]:
+    def tick(self, now: float) -> list[GateAction]:
         """End waits for keepers that do not answer."""
-        return self._passed(self.credits.tick(now))
+        return self._actions(self.credits.tick(now))
 
     def next_at(self) -> float | None:
         """Return when `tick` has something to do, None for never."""
@@ -84,24 +84,24 @@
 
     # Steps
 
-    def _passed(self, steps: list[Step]) -> list[Passed]:
-        passed: list[Passed] = []
+    def _actions(self, steps: list[Step]) -> list[GateAction]:
+        actions: list[GateAction] = []
         for step in steps:
             match step:
-                case Ask(keeper, message):
-                    passed.append(SendTo(keeper, Outgoing("CreditAsk", message)))
+                case Ask(quota_server, message):
+                    actions.append(SendTo(quota_server, OwnerFrame("CreditAsk", message)))
                 case Granted(call_id, over_burst):
                     call = self._calls.get(call_id)
                     if call is not None:
                         call.over_burst = over_burst
-                        passed.append(Begin(call))
-                case Denied(call_id, reason, again_s):
+                        actions.append(Begin(call))
+                case Denied(call_id, reason, retry_after_s):
                     call = self._calls.get(call_id)
                     if call is not None:
-                        passed.append(Refuse(call, self._verdict(reason, again_s)))
-        return passed
+                        actions.append(Refuse(call, self._verdict(reason, retry_after_s)))
+        return actions
 
-    def _verdict(self, reason: str, again_s: float) -> NotRun:
+    def _verdict(self, reason: str, retry_after_s: float) -> NotRun:
         over = reason == OVER_QUOTA
         self._count.over_quota += over
-        return NotRun(reason, again_s, status=TOO_MANY if over else UNAVAILABLE)
+        return NotRun(reason, retry_after_s, status=TOO_MANY_REQUESTS if over else UNAVAILABLE)
--- a/tests/unit/delivery/test_keys.py
+++ b/tests/unit/delivery/test_keys.py
@@ -22,7 +22,7 @@
     KeyTable,
     Replay,
     Run,
-    issued_by_uuid7,
+    uuid7_issued_ms,
 )
 from foldhoist.delivery.verdict import Response
 from foldhoist.routing.rendezvous import home
@@ -90,9 +90,9 @@
 
 
 def test_a_uuid7_tells_when_it_was_issued() -> None:
-    assert issued_by_uuid7("01890a5d-ac96-774b-bcce-b302099a8057") == 0x01890A5DAC96
-    assert issued_by_uuid7("9b2e4c1a-0000-4000-8000-000000000000") == 0
-    assert issued_by_uuid7("order 17") == 0
+    assert uuid7_issued_ms("01890a5d-ac96-774b-bcce-b302099a8057") == 0x01890A5DAC96
+    assert uuid7_issued_ms("9b2e4c1a-0000-4000-8000-000000000000") == 0
+    assert uuid7_issued_ms("order 17") == 0
 
 
 class HomesMachine(RuleBasedStateMachine):
--- a/tests/unit/delivery/test_quota_gate.py
+++ b/tests/unit/delivery/test_quota_gate.py
@@ -6,7 +6,7 @@
 
 from foldhoist.config.fleet import parse_fleet
 from foldhoist.customers.keys import digest_of
-from foldhoist.delivery.call import Outgoing, Reply, SendTo
+from foldhoist.delivery.call import OwnerFrame, Reply, SendTo
 from foldhoist.delivery.verdict import NotRun
 from foldhoist.membership.view import homes, tracked
 from tests.unit.delivery.test_ingress import fleet_text, make, refusal, replies, request
@@ -88,7 +88,7 @@
     (ask,) = asked(call(ingress, 1.0, 1))
     (sent,) = dispatched(ingress.credited(1.01, credit(ask, 1)))
     ingress.caller_disconnected(1.02, 1)
-    assert isinstance(sent.frame, Outgoing)
+    assert isinstance(sent.frame, OwnerFrame)
     assert asked(call(ingress, 1.1, 2))
 
 
