--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -27,7 +27,7 @@
 from foldhoist.daemon.owner_task import OwnerTask
 from foldhoist.daemon.prober import Prober
 from foldhoist.daemon.quota_task import QuotaTask
-from foldhoist.delivery.codec import HEADROOM, SCHEMA_VERSION
+from foldhoist.delivery.codec import FRAME_OVERHEAD_BYTES, SCHEMA_VERSION
 from foldhoist.delivery.ingress import Ingress
 from foldhoist.delivery.keys import KEY_WINDOW_S
 from foldhoist.delivery.owner import Owner
@@ -90,7 +90,7 @@
     async def start(self) -> None:
         """Open every socket and start every task."""
         cfg = self.cfg
-        limit = cfg["limits"]["body_bytes"] + HEADROOM
+        limit = cfg["limits"]["body_bytes"] + FRAME_OVERHEAD_BYTES
         platform = cfg["platform"]
         self.client = PlatformClient(platform["log"], platform["stream"], platform["hosts"])
         self._bodies = HeldBytes(cfg["limits"]["held_bytes"])
@@ -153,7 +153,7 @@
             return
         self.draining = True
         logger.info("draining")
-        self.owner_task.leave("drain")
+        self.owner_task.set_leaving("drain")
         self.shared.closing = True
         loop = asyncio.get_running_loop()
         limit = loop.time() + self.cfg["limits"]["drain_ms"] / 1000
@@ -259,12 +259,12 @@
         )
         self.owner_task.pool.most = target["connections"]
         rate = ColdRate(service["cold_per_s"], service["cold_ms"] / 1000)
-        self.owner_task.bound_cold(rate)
+        self.owner_task.set_cold_rate(rate)
         self.owner_task.set_evacuated(target["data_centre"] in evacuated(fleet))
         if target["state"] == "serving":
-            self.owner_task.stay("configuration")
+            self.owner_task.clear_leaving("configuration")
         else:
-            self.owner_task.leave("configuration")
+            self.owner_task.set_leaving("configuration")
         self.handover.adopt(state.generation, fleet)
 
     def _on_peer(self, link: int, kind: str, body: Any) -> None:
@@ -286,9 +286,9 @@
 
     def _on_host(self, state: str) -> None:
         if state == "leaving":
-            self.owner_task.leave("host-list")
+            self.owner_task.set_leaving("host-list")
         elif state == "live":
-            self.owner_task.stay("host-list")
+            self.owner_task.clear_leaving("host-list")
 
     def _local_frame(self, kind: str, body: Any) -> None:
         self.ingress_task.message(self.name, kind, body)
--- /dev/null
+++ b/foldhoist/delivery/owner_admission.py
@@ -0,0 +1,54 @@
+"""Which calls an owner does not take in: nothing of them has reached the upstream."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from foldhoist.delivery.shed_guard import SHEDS_ALL
+from foldhoist.quarantine.table import HELD
+
+if TYPE_CHECKING:
+    from foldhoist.delivery.quarantined_calls import QuarantinedCalls
+    from foldhoist.delivery.shed_guard import ShedGuard
+    from foldhoist.delivery.tickets import Tickets
+    from foldhoist.delivery.upstream_status import UpstreamStatus
+    from foldhoist.schema.messages import Dispatch
+
+
+class Rejection(NamedTuple):
+    """Why a call is not taken in, and when asking again makes sense, seconds."""
+
+    reason: str
+    retry_after_s: float = 1.0
+
+
+class OwnerAdmission:
+    """What decides whether a call is taken in; times are monotonic seconds."""
+
+    def __init__(
+        self,
+        status: UpstreamStatus,
+        tickets: Tickets,
+        quarantined: QuarantinedCalls,
+        shed_guard: ShedGuard,
+    ) -> None:
+        self._status = status
+        self._tickets = tickets
+        self._quarantined = quarantined
+        self._shed_guard = shed_guard
+
+    def rejection(self, now: float, req: Dispatch, service: str) -> Rejection | None:
+        """Return why a call is not taken in, or None; `service` is the upstream's."""
+        if self._status.leaving:
+            return Rejection(self._status.refusal)
+        if req["service"] != service:
+            return Rejection("not-my-service")
+        if self._status.state == "down":
+            return Rejection("upstream-down")
+        if not self._tickets.has_room(req):
+            return Rejection("bodies-full")
+        if remaining_s := self._quarantined.remaining_s(now, req):
+            return Rejection(HELD, remaining_s)
+        if self._shed_guard.refuses(now):
+            return Rejection(SHEDS_ALL, self._shed_guard.retry_after_s(now))
+        return None
