--- a/foldhoist/delivery/quota_gate.py
+++ b/foldhoist/delivery/quota_gate.py
@@ -90,10 +90,10 @@
             match step:
                 case Ask(quota_server, message):
                     actions.append(SendTo(quota_server, OwnerFrame("CreditAsk", message)))
-                case Granted(call_id, scarce):
+                case Granted(call_id, over_burst):
                     call = self._calls.get(call_id)
                     if call is not None:
-                        call.over_burst = scarce
+                        call.over_burst = over_burst
                         actions.append(Begin(call))
                 case Denied(call_id, reason, retry_after_s):
                     call = self._calls.get(call_id)
