--- a/foldhoist/daemon/peer_messages.py
+++ b/foldhoist/daemon/peer_messages.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING, Any
 
-from foldhoist.membership.lives import from_rows
+from foldhoist.membership.incarnations import incarnations_from_rows
 
 if TYPE_CHECKING:
     from foldhoist.daemon.mesh import MeshDaemon
@@ -21,17 +21,17 @@
     def outbound(self, name: str, kind: str, body: Any) -> None:
         """Take in a message on a connection that this daemon opened."""
         daemon = self._daemon
-        daemon.registry.heard(asyncio.get_running_loop().time(), name)
+        daemon.registry.record_contact(asyncio.get_running_loop().time(), name)
         match kind:
             case "Member":
                 daemon.peers.told(body)
-                ended = daemon.registry.remembered(name)
+                ended = daemon.registry.ended_incarnations(name)
                 if ended is not None:
                     daemon.links.send(name, "Remembered", {"ended": ended})
             case "Remembered":
-                daemon.upstream.remember(from_rows(body["ended"]))
+                daemon.upstream.remember(incarnations_from_rows(body["ended"]))
             case "Noted":
-                daemon.upstream.peer_answered(name, from_rows(body["ended"]))
+                daemon.upstream.peer_answered(name, incarnations_from_rows(body["ended"]))
             case "Versioned":
                 daemon.versions.on_versioned(name, body)
             case "Fresh":
@@ -48,7 +48,7 @@
             case "Member":
                 self._member(link, body)
             case "Remembered":
-                daemon.upstream.remember(from_rows(body["ended"]))
+                daemon.upstream.remember(incarnations_from_rows(body["ended"]))
             case "Versioned":
                 daemon.versions.on_versioned(daemon.owner.peer_name(link), body)
             case "Crashes":
@@ -95,7 +95,7 @@
         is_new = known is None or known.incarnation != member["incarnation"]
         daemon.peers.told(member)
         reply = daemon.owner_task.reply
-        ended = daemon.registry.remembered(member["name"])
+        ended = daemon.registry.ended_incarnations(member["name"])
         if ended is not None:
             reply(link, "Remembered", {"ended": ended})
         # It may have been told on a connection of this daemon's, before something changed.
--- a/foldhoist/delivery/request_intake.py
+++ b/foldhoist/delivery/request_intake.py
@@ -9,7 +9,7 @@
 from foldhoist.delivery.call import Call
 from foldhoist.delivery.verdict import NotRun
 from foldhoist.quarantine.table import HELD
-from foldhoist.routing.routes import NO_RANK, Routed, RouteTable
+from foldhoist.routing.routes import NO_RANK, RouteMatch, RouteTable
 
 if TYPE_CHECKING:
     from foldhoist.customers.directory import Customer
@@ -73,7 +73,7 @@
     # Steps
 
     def _accept(
-        self, now: float, call_id: int, req: CallerRequest, routed: Routed, who: Identified
+        self, now: float, call_id: int, req: CallerRequest, routed: RouteMatch, who: Identified
     ) -> IntakeResult:
         state = self._services.get(routed.service)
         if state is None:
@@ -88,7 +88,7 @@
             return _rejected(now, call_id, req, routed, NotRun(HELD, quarantined_s))
         return AcceptedRequest(call)
 
-    def _route(self, req: CallerRequest) -> Routed | None:
+    def _route(self, req: CallerRequest) -> RouteMatch | None:
         """Return the call's route with the service drawn for it, or None if there is none."""
         if self._routes is None:
             return None
@@ -108,7 +108,7 @@
         return req._replace(headers=[*req.headers, *req.withheld], withheld=())
 
 
-def _with_customer_rank(routed: Routed, customer: Customer | None) -> Routed:
+def _with_customer_rank(routed: RouteMatch, customer: Customer | None) -> RouteMatch:
     """Return the route with the customer's rank, which goes first; the route's decides within."""
     if customer is None or customer.rank == NO_RANK:
         return routed
@@ -117,7 +117,7 @@
 
 
 def _rejected(
-    now: float, call_id: int, req: CallerRequest, routed: Routed | None, verdict: NotRun
+    now: float, call_id: int, req: CallerRequest, routed: RouteMatch | None, verdict: NotRun
 ) -> RejectedRequest:
-    routed = routed or Routed("", repeatable=False, urgent=False)
+    routed = routed or RouteMatch("", repeatable=False, urgent=False)
     return RejectedRequest(Call(call_id, req._replace(withheld=()), routed, now, now), verdict)
--- a/foldhoist/membership/settling.py
+++ b/foldhoist/membership/startup_barrier.py
@@ -12,7 +12,7 @@
     from collections.abc import Set as AbstractSet
 
 
-class Settling:
+class StartupBarrier:
     """What a new life has heard; the first life of a daemon has nothing to hear."""
 
     def __init__(self, first: bool) -> None:
@@ -43,7 +43,7 @@
         """Take in that a peer has answered, whether it knew an earlier life or not."""
         self._answered.add(name)
 
-    def waited(self) -> None:
+    def wait_elapsed(self) -> None:
         """Take in that every peer that can be reached had time to answer."""
         self._waited = True
 
