--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -149,7 +149,7 @@
         limits, platform = found.cfg["limits"], found.cfg["platform"]
         self.adapter.reload(found.cfg)
         self.events.share = found.cfg["observe"]["log_share"]
-        self.ingress_task.ingress.door.most_calls = limits["calls"]
+        self.ingress_task.ingress.admission.max_calls = limits["calls"]
         self._bodies.most = limits["held_bytes"]
         self._slack.attempts = platform["retry_slack"]
         self._slack.window_s = platform["retry_window_s"]
@@ -333,14 +333,14 @@
         if self.versions.fleet is not None:
             self._bound_cold(self.versions.fleet)
         if replaced:
-            self.ingress_task.ingress.replaced(now, self.name)
+            self.ingress_task.ingress.upstream_replaced(now, self.name)
         self._track()
         self._tell_all()
 
     def _on_peers(self, changed: list[str]) -> None:
         now = asyncio.get_running_loop().time()
         for name in changed:
-            self.ingress_task.ingress.replaced(now, name)
+            self.ingress_task.ingress.upstream_replaced(now, name)
 
     def _on_seats(self, hosts: frozenset[str]) -> None:
         """Keep connections to the hosts that keep quotas."""
--- a/tests/unit/delivery/test_shed_guard.py
+++ b/tests/unit/delivery/test_shed_guard.py
@@ -11,7 +11,7 @@
 import pytest
 
 from foldhoist.admission.shedding import IN_A_ROW, Shedding
-from foldhoist.delivery.dispatch import SendTo, Shed, StartCall, Whole
+from foldhoist.delivery.dispatch import Complete, SendTo, Shed, StartCall
 from foldhoist.delivery.shed_guard import SHEDS_ALL
 from foldhoist.routing.picker import Choice, Member, NoChoice, Picker
 from foldhoist.routing.policies import Mixed
@@ -99,7 +99,7 @@
         for entry in [entry for entry in self.running if entry[0] <= now]:
             self.running.remove(entry)
             _, each, ticket, sheds = entry
-            result = Shed(0.1) if sheds else Whole(200, [], b"")
+            result = Shed(0.1) if sheds else Complete(200, [], b"")
             self.deliver(now, each, self.owners[each].finished(now, ticket, result))
         for each, owner in enumerate(self.owners):
             self.deliver(now, each, owner.tick(now))
