--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -12,18 +12,18 @@
 from foldhoist.daemon.lost_calls import LostCalls
 from foldhoist.daemon.sampler import Sampler
 from foldhoist.daemon.upstream import CONNECTION_LOST, UpstreamPool
+from foldhoist.delivery.call_finisher import LOCAL_LINK
 from foldhoist.delivery.codec import FRAME_OVERHEAD_BYTES, SCHEMA_VERSION
 from foldhoist.delivery.dispatch import (
-    Broken,
     CancelCall,
     CloseLink,
-    Hold,
+    Complete,
+    Incomplete,
+    QuarantineCalls,
     SendTo,
-    Spread,
+    ShareSuspects,
     StartCall,
-    Whole,
 )
-from foldhoist.delivery.endings import LOCAL_LINK
 from foldhoist.delivery.upstream_status import EVACUATED
 from foldhoist.membership.incarnations import incarnation_of
 from foldhoist.routing.sampling import SamplePlan
@@ -280,7 +280,7 @@
 
     def _result(self, ticket: int, result: Result) -> None:
         match result:
-            case Broken(True, reason) if reason == CONNECTION_LOST:
+            case Incomplete(True, reason) if reason == CONNECTION_LOST:
                 self._lost_calls.add(ticket, result)
             case _:
                 self._take_result(ticket, result)
@@ -299,7 +299,7 @@
     def _take_result(self, ticket: int, result: Result) -> None:
         now = self._loop.time()
         hop = self.owner.call_record(now, ticket, result)
-        if isinstance(result, Whole):
+        if isinstance(result, Complete):
             self.sampler.heard(result.pace)
         self.owner.status.pace_sampled = self.sampler.watching
         if _is_away(result):
@@ -328,9 +328,9 @@
                     self.pool.start(self._loop.time(), action)
                 case CancelCall(ticket, reason):
                     self.pool.cancel(ticket, reason)
-                case Spread(suspects) if self.on_spread is not None:
+                case ShareSuspects(suspects) if self.on_spread is not None:
                     self.on_spread(suspects)
-                case Hold(calls):
+                case QuarantineCalls(calls):
                     self._tell_held(calls)
                 case CloseLink(link):
                     conn = self._conns.get(link)
@@ -396,4 +396,4 @@
 
 
 def _is_away(result: Result) -> bool:
-    return isinstance(result, Broken) and not result.sent and result.reason == AWAY
+    return isinstance(result, Incomplete) and not result.sent and result.reason == AWAY
--- a/foldhoist/delivery/call.py
+++ b/foldhoist/delivery/call.py
@@ -56,7 +56,7 @@
         return self.parent_repeat if self.retried is None else float(self.retried)
 
 
-class Outgoing(NamedTuple):
+class OwnerFrame(NamedTuple):
     """A message to an owner: its kind and its fields."""
 
     kind: str
@@ -67,7 +67,7 @@
     """Write a frame to the owner of this name."""
 
     target: str
-    frame: Outgoing
+    frame: OwnerFrame
 
 
 class Reply(NamedTuple):
@@ -157,14 +157,14 @@
 
     EXPIRE = 0
     HEDGE = 1
-    UNASKED = 2
-    UNPARK = 3
+    FATE_TIMEOUT = 2
+    PARK_TIMEOUT = 3
 
 
-class Live:
+class PendingAttempt:
     """An attempt that has no result yet."""
 
-    __slots__ = ("asking", "candidates", "reason", "sent", "seq", "target")
+    __slots__ = ("candidates", "fate_due", "reason", "sent", "seq", "target")
 
     def __init__(self, seq: int, target: str, choice: Choice, now: float) -> None:
         self.seq = seq
@@ -172,35 +172,35 @@
         self.reason = choice.reason
         self.candidates = choice.candidates
         self.sent = now
-        self.asking = 0.0
+        self.fate_due = 0.0
 
 
 class Call:
     """A call that has no final answer yet; times are monotonic seconds."""
 
     __slots__ = (
+        "admitted",
         "arrivals",
         "arrived",
         "attempts",
         "attempts_allowed",
-        "begun",
         "bulk",
+        "cached_identity",
         "call_id",
         "customer",
         "deadline",
+        "dispatches",
         "excluded",
         "failure",
-        "identity_known",
-        "live",
-        "maybe",
+        "may_have_run_reason",
         "objective_s",
+        "over_burst",
+        "pending",
         "rank",
         "repeatable",
         "req",
         "route",
-        "scarce",
         "service",
-        "tries",
         "urgent",
     )
 
@@ -215,8 +215,8 @@
     ) -> None:
         self.call_id = call_id
         self.customer = customer
-        self.scarce = False
-        self.begun = False
+        self.over_burst = False
+        self.admitted = False
         self.bulk = routed.bulk
         self.req = req
         self.service = routed.service
@@ -225,45 +225,47 @@
         self.repeatable = routed.repeatable
         self.arrived = now
         self.deadline = deadline
-        self.live: dict[int, Live] = {}
+        self.pending: dict[int, PendingAttempt] = {}
         self.excluded: set[str] = set()
         self.attempts: list[Attempt] = []
         self.attempts_allowed = routed.attempts
         self.rank = routed.rank
         self.objective_s = routed.objective_s
-        self.tries = 0
+        self.dispatches = 0
         self.arrivals = 0
-        self.maybe = ""
+        self.may_have_run_reason = ""
         self.failure: Response | None = None
-        self.identity_known = ""
+        self.cached_identity = ""
 
     @property
     def identity(self) -> str:
         """Return by what the call is known when it comes again; it is worked out once."""
-        if not self.identity_known:
+        if not self.cached_identity:
             req = self.req
-            self.identity_known = identity_of(
+            self.cached_identity = identity_of(
                 req.method, req.path, req.headers, req.body, req.caller
             )
-        return self.identity_known
+        return self.cached_identity
 
-    def note(self, now: float, live: Live, result: str, waited_us: int, served_us: int) -> None:
+    def note(
+        self, now: float, attempt: PendingAttempt, result: str, waited_us: int, served_us: int
+    ) -> None:
         """Keep what became of an attempt for the record."""
-        attempt = Attempt(
-            live.seq,
-            live.target,
-            live.reason,
-            live.candidates,
-            live.sent,
+        ended = Attempt(
+            attempt.seq,
+            attempt.target,
+            attempt.reason,
+            attempt.candidates,
+            attempt.sent,
             now,
             result,
             waited_us,
             served_us,
         )
-        self.attempts.append(attempt)
+        self.attempts.append(ended)
 
 
-def record_of(call: Call, now: float, verdict: Verdict, generation: int) -> Record:
+def make_record(call: Call, now: float, verdict: Verdict, generation: int) -> Record:
     """Return the story of a call that ends now."""
     match verdict:
         case Answered(response):
--- a/foldhoist/delivery/endings.py
+++ b/foldhoist/delivery/call_finisher.py
@@ -12,7 +12,7 @@
 from foldhoist.delivery.verdict import Response
 
 if TYPE_CHECKING:
-    from foldhoist.delivery.dispatch import Action, Counters, Peer, Ticket, Whole
+    from foldhoist.delivery.dispatch import Action, Complete, Counters, Peer, Ticket
     from foldhoist.delivery.keys import KeyTable
     from foldhoist.delivery.load_reports import LoadReports
     from foldhoist.delivery.peers import Peers
@@ -23,7 +23,7 @@
 """Link number of the ingress in the owner's own process."""
 
 
-class Endings:
+class CallFinisher:
     """Ends calls: takes them off the tickets, tells all who wait, keeps what may be asked again."""
 
     def __init__(
@@ -37,11 +37,13 @@
         self._reports = reports
         self._count = count
 
-    def answered(self, now: float, ticket_id: int, whole: Whole, served_s: float) -> list[Action]:
+    def answered(
+        self, now: float, ticket_id: int, answer: Complete, served_s: float
+    ) -> list[Action]:
         """End a call that the upstream has answered; `served_s` is its time there, seconds."""
         ticket = self._tickets.pop(ticket_id)
         self._count.answered += 1
-        response = Response(whole.status, whole.headers, whole.body)
+        response = Response(answer.status, answer.headers, answer.body)
         times_us = (int((ticket.started - ticket.arrived) * 1e6), int(served_s * 1e6))
         load = self._reports.load()
         actions: list[Action] = []
@@ -71,7 +73,7 @@
             self._keys.ended(ticket.key, None, ran=ran != "no")
         return actions
 
-    def refused_at_door(
+    def refused_on_arrival(
         self, peer: Peer, req: Dispatch, reason: str, retry_after_s: float
     ) -> Action:
         """Send back a call that was not taken in."""
--- a/tests/unit/delivery/test_owner.py
+++ b/tests/unit/delivery/test_owner.py
@@ -8,16 +8,16 @@
 from foldhoist.admission.slots import QueueLimits
 from foldhoist.delivery import peers as peers_module
 from foldhoist.delivery.dispatch import (
-    Broken,
     CancelCall,
     CloseLink,
-    Hold,
+    Complete,
+    Incomplete,
+    QuarantineCalls,
     Replaced,
     Sample,
     SendTo,
     Shed,
     StartCall,
-    Whole,
 )
 from foldhoist.delivery.load_reports import MAX_PACE_REPORTS
 from foldhoist.delivery.owner import Owner
@@ -30,7 +30,7 @@
     from foldhoist.schema.messages import Suspect
 
 EMPTY: Suspect = {"call": "", "crashes": [], "refuted": [], "age_ms": 0}
-ANSWER = Whole(200, [], b"x" * 1000)
+ANSWER = Complete(200, [], b"x" * 1000)
 
 
 def make(slots: int = 2) -> Owner:
@@ -123,7 +123,7 @@
     assert sent_results(owner.withdraw(0.2, 1, {"seq": 2})) == [(2, "Refusal", "no")]
     assert isinstance(start, StartCall)
     assert owner.withdraw(0.2, 1, {"seq": 1}) == [CancelCall(start.ticket)]
-    ended = owner.finished(0.3, start.ticket, Broken(True, "cancelled"))
+    ended = owner.finished(0.3, start.ticket, Incomplete(True, "cancelled"))
     assert sent_results(ended) == [(1, "Refusal", "maybe")]
 
 
@@ -131,7 +131,7 @@
     owner = make()
     (start,) = owner.dispatch(0.1, 0, 1, dispatch(1))
     assert isinstance(start, StartCall)
-    ended = owner.finished(0.2, start.ticket, Broken(False, "upstream-unreachable"))
+    ended = owner.finished(0.2, start.ticket, Incomplete(False, "upstream-unreachable"))
     assert sent_results(ended) == [(1, "Refusal", "no")]
 
 
@@ -144,7 +144,7 @@
     for result, received in (
         (Shed(0.1), True),
         (Replaced(), True),
-        (Broken(False, "upstream-unreachable"), False),
+        (Incomplete(False, "upstream-unreachable"), False),
     ):
         owner = make()
         (start,) = owner.dispatch(0.1, 0, 1, dispatch(1))
@@ -242,7 +242,7 @@
                 starts += owner.dispatch(now, 0, 1, dispatch(seq))
             now += 0.1 if concurrent == 1 else 0.3
             for start in starts:
-                changes += reported_slots(owner.finished(now, start.ticket, Whole(200, [], b"")))
+                changes += reported_slots(owner.finished(now, start.ticket, Complete(200, [], b"")))
         assert seq < 1000
     assert changes[0] == (1, 4)
 
@@ -262,7 +262,7 @@
         owner.hello(0.0, link, hello(f"in-{link}", 1))
         (start,) = owner.dispatch(link / 100, 0, link, dispatch(1))
         assert isinstance(start, StartCall)
-        owner.finished(link / 100, start.ticket, Whole(200, [], b"", 100))
+        owner.finished(link / 100, start.ticket, Complete(200, [], b"", 100))
     links = [
         action.link for action in owner.sampled(1.0, Sample(500)) if isinstance(action, SendTo)
     ]
@@ -297,7 +297,7 @@
     assert bodies.used == 90_000
     owner.finished(0.1, 1, ANSWER)
     owner.withdraw(0.1, 1, {"seq": 2})
-    owner.finished(0.2, 2, Broken(True, "cancelled"))
+    owner.finished(0.2, 2, Incomplete(True, "cancelled"))
     assert bodies.used == 0
     assert owner.calls == 0
 
@@ -320,7 +320,7 @@
     owner = make()
     (started,) = owner.dispatch(0.0, 0, 1, dispatch(1))
     actions = owner.upstream_crashed(0.1, [started.ticket])
-    actions += owner.finished(0.1, started.ticket, Broken(True, "upstream-connection-lost"))
+    actions += owner.finished(0.1, started.ticket, Incomplete(True, "upstream-connection-lost"))
     assert kinds(actions) == ["Crashes", "Refusal"]
     (suspect,) = actions[0].frame.body["suspects"]
     assert suspect["crashes"]
@@ -335,7 +335,7 @@
     call = owner.tickets[started.ticket].identity
     row = {"call": call, "crashes": ["a/1", "b/1"], "refuted": [], "age_ms": 0}
     actions = owner.learn_crashes(0.1, [cast("Any", row)])
-    assert Hold([call]) in actions
+    assert QuarantineCalls([call]) in actions
     assert CancelCall(started.ticket, QUARANTINED) in actions
     assert sent_results(actions) == [(2, "Refusal", "no")]
     assert sent_results(owner.dispatch(0.2, 0, 1, dispatch(3))) == [(3, "Refusal", "no")]
@@ -347,7 +347,7 @@
     (started,) = owner.dispatch(0.0, 0, 1, dispatch(1))
     call = owner.tickets[started.ticket].identity
     row = {"call": call, "crashes": ["a/1", "b/1"], "refuted": [], "age_ms": 0}
-    assert owner.learn_crashes(0.1, [cast("Any", row)]) == [Hold([call])]
+    assert owner.learn_crashes(0.1, [cast("Any", row)]) == [QuarantineCalls([call])]
 
 
 def test_connecting_ingress_receives_the_suspected_calls() -> None:
@@ -364,5 +364,5 @@
         (started,) = owner.dispatch(0.0, 0, 1, dispatch(seq))
         call = owner.tickets[started.ticket].identity
         owner.quarantine.merge(0.0, [{**EMPTY, "call": call, "crashes": ["a/1"]}])
-        owner.finished(0.1, started.ticket, Whole(status, [], b""))
+        owner.finished(0.1, started.ticket, Complete(status, [], b""))
         assert owner.quarantine.is_suspect(call) is (status == 504)
