--- a/tests/unit/admission/test_body_memory.py
+++ b/tests/unit/admission/test_body_memory.py
@@ -1,4 +1,4 @@
-"""The bound on the bytes of bodies that are held at once."""
+"""Tests of the limit on the memory for bodies."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     assert memory.has_room(SMALL_BODY_BYTES, SMALL_BODY_BYTES)
 
 
-def test_what_was_given_back_may_be_taken_again() -> None:
+def test_released_bytes_may_be_reserved_again() -> None:
     memory = BodyMemory(LIMIT)
     memory.reserve(LIMIT)
     assert not memory.has_room(1, 1)
@@ -27,7 +27,7 @@
     assert memory.has_room(1, 1)
 
 
-def test_what_has_no_body_needs_no_room_when_the_bound_was_lowered() -> None:
+def test_no_bytes_fit_even_after_the_limit_was_lowered() -> None:
     memory = BodyMemory(LIMIT)
     memory.reserve(LIMIT)
     memory.limit = SMALL_BODY_BYTES
@@ -36,7 +36,7 @@
 
 
 @given(sizes=st.lists(st.integers(1, 3 * SMALL_BODY_BYTES), max_size=60))
-def test_never_more_than_the_bound_is_held(sizes: list[int]) -> None:
+def test_the_limit_is_never_exceeded(sizes: list[int]) -> None:
     memory = BodyMemory(LIMIT)
     for size in sizes:
         if memory.has_room(size, size):
--- a/tests/unit/admission/test_bucket.py
+++ b/tests/unit/admission/test_bucket.py
@@ -23,7 +23,7 @@
         assert spent <= burst + rate * now + 1e-6
 
 
-def test_wait_tells_when_a_token_is_there() -> None:
+def test_wait_returns_the_time_until_a_token_is_available() -> None:
     bucket = TokenBucket(2.0, 1.0, 0.0)
     assert bucket.take(0.0)
     assert not bucket.take(0.1)
--- a/tests/unit/admission/test_cold.py
+++ b/tests/unit/admission/test_cold.py
@@ -1,4 +1,4 @@
-"""What a cold upstream is given: no second holds more than it bears, wherever that begins."""
+"""Tests of the rate limit of a cold upstream, which holds for every window."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
     from collections.abc import Callable
 
 RATE = ColdRate(8.0, 3.0)
-"""What the upstreams of these tests bear."""
-MOMENTS = st.lists(st.floats(0.0, 0.4), min_size=1, max_size=120)
+"""Rate of the cold upstreams in these tests."""
+GAPS = st.lists(st.floats(0.0, 0.4), min_size=1, max_size=120)
 """Times between two calls, seconds."""
 
 
 def cold(until: float = 100.0) -> ColdStart:
-    """Return an upstream that is cold, of which all is known since long."""
+    """Return an upstream that is cold until `until` and whose rate was set long before."""
     found = ColdStart()
     found.set_rate(-100.0, RATE)
     found.extend(0.0, until)
     return found
 
 
-def let_in(gaps: list[float], may_start: Callable[[float], bool]) -> list[float]:
-    """Return when calls start that come with these gaps."""
+def admitted_starts(gaps: list[float], may_start: Callable[[float], bool]) -> list[float]:
+    """Return the times at which calls with these gaps start."""
     now = 0.0
     starts: list[float] = []
     for gap in gaps:
@@ -45,8 +45,8 @@
     return max((sum(1 for at in starts if end - 1.0 < at <= end) for end in starts), default=0)
 
 
-@given(MOMENTS)
-def test_no_second_holds_more_than_is_borne(gaps: list[float]) -> None:
+@given(GAPS)
+def test_no_second_has_more_starts_than_the_rate(gaps: list[float]) -> None:
     upstream = cold()
 
     def may_start(now: float) -> bool:
@@ -55,19 +55,19 @@
             upstream.record_start(now)
         return may
 
-    starts = let_in(gaps, may_start)
+    starts = admitted_starts(gaps, may_start)
     assert most_in_a_second(starts) <= RATE.per_s
     assert starts
 
 
-def test_a_bucket_of_as_many_tokens_lets_nearly_twice_as_many_in() -> None:
-    """Why a window slides instead: 8 at once, then one each 125 ms, are 15 in a second."""
+def test_a_token_bucket_would_admit_nearly_twice_the_rate() -> None:
+    """Shows why a sliding window is used: 8 tokens and one each 125 ms are 15 calls in a second."""
     bucket = TokenBucket(RATE.per_s, RATE.per_s, 0.0)
-    starts = let_in([0.0] * 20 + [0.01] * 200, bucket.take)
+    starts = admitted_starts([0.0] * 20 + [0.01] * 200, bucket.take)
     assert most_in_a_second(starts) == 15
 
 
-def test_what_it_got_before_it_was_known_to_be_cold_counts() -> None:
+def test_starts_before_the_upstream_was_known_to_be_cold_count() -> None:
     upstream = ColdStart()
     upstream.set_rate(-100.0, RATE)
     for number in range(12):
@@ -79,7 +79,7 @@
     assert upstream.may_start(1.2)
 
 
-def test_a_daemon_that_has_just_started_knows_nothing_of_the_second_before() -> None:
+def test_a_full_window_is_assumed_when_the_rate_is_first_set() -> None:
     upstream = ColdStart()
     upstream.set_rate(5.0, RATE)
     upstream.extend(5.1, 3.0)
@@ -87,7 +87,7 @@
     assert upstream.may_start(6.0)
 
 
-def test_a_late_word_does_not_end_it_and_an_answer_of_now_does() -> None:
+def test_only_a_current_answer_shortens_the_cold_period() -> None:
     upstream = cold(until=3.0)
     upstream.extend(0.5, 0.0)
     upstream.extend(0.5, 1.0)
@@ -98,13 +98,13 @@
     assert not upstream.is_cold(4.0)
 
 
-def test_the_word_of_the_life_before_ends_with_it() -> None:
+def test_the_cold_period_ends_when_the_upstream_is_replaced() -> None:
     upstream = cold(until=60.0)
     upstream.reset_on_replacement()
     assert not upstream.is_cold(0.1)
 
 
-def test_one_that_was_given_nothing_for_a_while_is_taken_for_cold() -> None:
+def test_an_upstream_assumed_to_be_cold_is_cold_for_a_period() -> None:
     upstream = ColdStart()
     upstream.set_rate(-100.0, RATE)
     upstream.assume_cold(1.0)
@@ -112,7 +112,7 @@
     assert not upstream.is_cold(4.0)
 
 
-def test_nothing_is_held_back_where_it_is_not_known_what_is_borne() -> None:
+def test_all_calls_may_start_if_the_rate_is_unknown() -> None:
     upstream = ColdStart()
     upstream.set_rate(0.0, ColdRate())
     upstream.extend(0.0, 60.0)
@@ -121,7 +121,7 @@
         upstream.record_start(0.0)
 
 
-def test_a_rate_below_one_call_a_second_spans_more_than_a_second() -> None:
+def test_a_rate_below_one_call_a_second_has_a_longer_window() -> None:
     upstream = ColdStart()
     upstream.set_rate(-100.0, ColdRate(0.5, 30.0))
     upstream.extend(0.0, 30.0)
@@ -130,7 +130,7 @@
     assert upstream.ready_at(1.0, ahead=1) == 4.0
 
 
-def test_the_queue_starts_what_is_borne_and_says_when_the_next_may_start() -> None:
+def test_the_queue_keeps_to_the_rate_and_returns_when_the_next_call_may_start() -> None:
     queue = DueQueue(QueueLimits(20, 60, 0, 8))
     queue.cold.set_rate(-100.0, ColdRate(2.0, 3.0))
     queue.cold.extend(0.0, 60.0)
@@ -149,7 +149,7 @@
     assert late.retry_after_s > 0.8
 
 
-def test_what_an_earlier_life_of_the_daemon_sent_counts_from_when_this_one_began() -> None:
+def test_the_assumed_window_begins_when_the_process_began() -> None:
     upstream = ColdStart()
     upstream.set_rate(0.7, ColdRate(5.0, 3.0), began=0.1)
     upstream.extend(0.7, 3.0)
@@ -161,7 +161,7 @@
     assert late.ready_at(0.7) == pytest.approx(1.7)
 
 
-def test_what_is_borne_beyond_the_rate_is_used_in_part_and_never_wholly() -> None:
+def test_the_tolerance_raises_the_rate_by_a_part_of_the_slack() -> None:
     rate = ColdRate(5.5, 3.0)
     assert rate.with_tolerance(Tolerance()) == rate
     used = rate.with_tolerance(Tolerance(1.5, 8.0)).per_s
--- a/tests/unit/admission/test_due.py
+++ b/tests/unit/admission/test_due.py
@@ -1,4 +1,4 @@
-"""The queue that is ordered by when answers are due."""
+"""Tests of the queue that is ordered by due time."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     assert slots.busy == 0
 
 
-def test_what_would_wait_too_long_is_refused_at_once_with_a_time_to_come_back() -> None:
+def test_a_call_that_would_wait_too_long_is_refused_at_once_with_a_retry_time() -> None:
     slots = queue()
     slots.submit(0.0, 1, queued(9.0))
     slots.submit(0.0, 2, queued(1.0, expect=0.5))
@@ -60,7 +60,7 @@
     assert refused.retry_after_s >= 0.5
 
 
-def test_waiting_calls_are_refused_when_they_may_not_start_any_more() -> None:
+def test_waiting_calls_are_refused_at_start_by() -> None:
     slots = queue()
     slots.submit(0.0, 1, queued(9.0))
     slots.submit(0.0, 2, queued(5.0, start_by=0.2))
@@ -71,7 +71,7 @@
 
 
 def test_a_free_slot_is_taken_by_a_call_that_is_expected_to_be_late() -> None:
-    """What such calls take may have been learned in worse times."""
+    """The expected service time may be too high."""
     slots = queue()
     late = queued(due=1.0, start_by=0.5, expect=0.9, deadline=2.0)
     assert slots.submit(0.6, 1, late) == Start(1)
@@ -80,8 +80,8 @@
     assert isinstance(slots.submit(2.0, 3, late), Refuse)
 
 
-def test_under_lasting_load_calls_with_more_time_are_served_as_others_are() -> None:
-    """One slot, twice the work that it can do; one call in six may take longer than the others."""
+def test_calls_that_are_due_later_are_not_starved_under_overload() -> None:
+    """One slot with twice the work it can do; one call in six is due later than the others."""
     slots = queue(1, 50)
     sent: list[int] = []
     started: list[int] = []
@@ -97,14 +97,14 @@
             due_ms = 1000 if ticket % 6 == 0 else 600
             request = call("any", "", due_ms=due_ms, budget_ms=2500, expect_ms=100)
             start_by = Ticket("", request, now).start_by
-            asked = slots.queued_call(now, request, start_by, now + 2.5)
-            take([slots.submit(now, ticket, asked)])
+            new_call = slots.queued_call(now, request, start_by, now + 2.5)
+            take([slots.submit(now, ticket, new_call)])
         if slots.busy:
             take(slots.release(now, 0.1))
         slots.expire(now)
     shares = []
-    for patient in (True, False):
-        kind = [ticket for ticket in sent if (ticket % 6 == 0) is patient]
+    for due_later in (True, False):
+        kind = [ticket for ticket in sent if (ticket % 6 == 0) is due_later]
         shares.append(sum(ticket in started for ticket in kind) / len(kind))
     assert min(shares) > 0.25
     assert shares[0] > shares[1] / 2
@@ -141,8 +141,8 @@
         now += 0.1
         match kind:
             case 0 | 1:
-                asked = queued(now + amount, now + amount / 2, 0.1, now + 2 * amount)
-                take([slots.submit(now, ticket, asked)])
+                new_call = queued(now + amount, now + amount / 2, 0.1, now + 2 * amount)
+                take([slots.submit(now, ticket, new_call)])
             case 2 if running:
                 running.pop()
                 take(list(slots.release(now, 0.1)))
@@ -153,7 +153,7 @@
     assert len(decided) == len(set(decided))
 
 
-def test_a_nested_call_waits_beyond_its_routes_objective_and_goes_first_all_the_same() -> None:
+def test_a_nested_call_waits_beyond_its_objective_and_keeps_its_order() -> None:
     slots = queue()
     nested = slots.queued_call(0.0, call("stock", "web", due_ms=100), 0.025, 0.4)
     assert nested.start_by == 0.025
@@ -170,22 +170,21 @@
 
 
 def call(route: str, caller: str, **fields: Any) -> Any:
-    """Return what the queue reads of a call."""
+    """Return the fields of a request that the queue reads."""
     plain = {"route": route, "caller": caller, "due_ms": 500, "budget_ms": 400, "expect_ms": 30}
     return {"key": "", "retried": False, **plain, **fields}
 
 
-def test_calls_of_a_customer_beyond_its_usual_go_behind_others_that_wait() -> None:
-    """A customer that sends many times its usual takes no one else's room.
+def test_calls_of_a_customer_over_its_burst_go_behind_others() -> None:
+    """One slot and nine calls of a customer that has used up its burst.
 
-    Load: one slot, a customer with its burst used up sends nine calls, another one a single call
-    behind them. Without the order by burst that one is the last to start, or is refused.
+    Guards against a call of another customer that is refused or starts last because of them.
     """
     slots = queue(slots=1, most=20)
     plain: Any = {"budget_ms": 9000, "due_ms": 5000, "expect_ms": 100, "rank": 1}
     for ticket in range(1, 10):
-        asked = slots.queued_call(0.0, {**plain, "scarce": True}, 9.0, 10.0)
-        slots.submit(0.0, ticket, asked)
+        new_call = slots.queued_call(0.0, {**plain, "scarce": True}, 9.0, 10.0)
+        slots.submit(0.0, ticket, new_call)
     other = slots.queued_call(0.1, plain, 9.0, 10.0)
     assert not other.low_priority
     assert slots.expected_wait(0.1, other) < 0.2
--- a/tests/unit/admission/test_nested.py
+++ b/tests/unit/admission/test_nested.py
@@ -1,4 +1,4 @@
-"""Which routes are called by upstreams, learned from where their calls start."""
+"""Tests of the detection of routes that are called by upstreams."""
 
 from __future__ import annotations
 
@@ -29,30 +29,30 @@
     assert not callers.is_nested("pledge")
 
 
-def test_nothing_is_known_of_a_route_that_was_called_a_few_times() -> None:
+def test_a_route_with_few_calls_is_not_nested() -> None:
     callers = learned(("stock", "web", 5), ("pledge", "web", 20), ("pledge", "pay", 20))
     assert not callers.is_nested("stock")
     assert not callers.is_nested("unheard")
 
 
-def test_a_deployment_whose_callers_are_not_told_apart_has_no_nested_routes() -> None:
+def test_no_route_is_nested_if_callers_are_unknown() -> None:
     assert not learned(("stock", "", 50), ("pledge", "", 50)).is_nested("stock")
 
 
-def test_where_all_calls_come_from_one_service_none_is_taken_for_nested() -> None:
-    """There is nothing to compare with: perhaps only that service's hosts have callers."""
+def test_no_route_is_nested_if_all_calls_come_from_one_service() -> None:
+    """There is nothing to compare with: only that service's hosts may have callers."""
     assert not learned(("stock", "web", 50), ("pledge", "web", 50)).is_nested("stock")
 
 
-def test_what_was_learned_gives_way_to_what_comes_now() -> None:
+def test_newer_calls_outweigh_older_ones() -> None:
     callers = learned(("stock", "web", 1000), ("pledge", "web", 20), ("pledge", "pay", 20))
     for number in range(400):
         callers.record("stock", ("pay", "web")[number % 2])
     assert not callers.is_nested("stock")
 
 
-def judged_anew(calls: list[tuple[str, str]], route: str) -> bool:
-    """Return the rule as it is told, from all calls; they must be too few to be halved."""
+def expected_nested(calls: list[tuple[str, str]], route: str) -> bool:
+    """Return the expected result from all calls, which must be too few to be halved."""
     shares: dict[str, float] = {}
     for name in {name for name, _ in calls}:
         counts = Counter(caller for of, caller in calls if of == name)
@@ -69,11 +69,11 @@
         st.tuples(st.sampled_from("rst"), st.sampled_from("ab"), st.integers(1, 30)), max_size=6
     )
 )
-def test_what_is_kept_of_each_call_tells_the_same_as_all_calls(
+def test_the_counts_give_the_same_result_as_all_calls(
     runs: list[tuple[str, str, int]],
 ) -> None:
     calls = [(route, caller) for route, caller, times in runs for _ in range(times)]
     assert len(calls) <= HALVE_AFTER_CALLS
     callers = learned(*runs)
     for route in "rstx":
-        assert callers.is_nested(route) == judged_anew(calls, route)
+        assert callers.is_nested(route) == expected_nested(calls, route)
--- a/tests/unit/admission/test_pace.py
+++ b/tests/unit/admission/test_pace.py
@@ -1,4 +1,4 @@
-"""Waiting for the end of a slow spell of the upstream."""
+"""Tests of waiting for the end of a slow period of the upstream."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
     return monitor
 
 
-def test_work_that_a_spell_makes_longer_than_the_spell_lasts_is_worth_waiting_for() -> None:
+def test_only_long_calls_wait_for_the_end_of_a_slow_period() -> None:
     assert slow_at(1.0).is_worth_waiting(1.0, LONG_S)
     assert not slow_at(1.0).is_worth_waiting(1.0, SHORT_S)
     assert not slow_at(1.0, 110).is_worth_waiting(1.0, LONG_S)
     assert not PaceMonitor().is_worth_waiting(1.0, LONG_S)
 
 
-def test_what_was_told_long_ago_says_nothing_of_now() -> None:
+def test_an_old_pace_is_ignored() -> None:
     assert not slow_at(1.0).is_worth_waiting(1.0 + MAX_AGE_S + 0.01, LONG_S)
 
 
-def test_an_upstream_that_stays_slow_is_not_waited_for() -> None:
+def test_calls_do_not_wait_for_an_upstream_that_stays_slow() -> None:
     monitor = PaceMonitor()
     waited = 0.0
     for step in range(200):
@@ -37,18 +37,18 @@
     assert DEFAULT_SLOW_PERIOD_S < waited < LONG_S * 4.5
 
 
-def test_spells_that_prove_long_are_waited_for_by_longer_work_only() -> None:
+def test_only_longer_calls_wait_if_slow_periods_are_long() -> None:
     monitor = PaceMonitor()
-    for spell in range(60):
+    for period in range(60):
         for step in range(40):
-            monitor.record(spell + step * 0.02, 500)
-        monitor.record(spell + 0.8, 100)
+            monitor.record(period + step * 0.02, 500)
+        monitor.record(period + 0.8, 100)
     monitor.record(100.0, 500)
     assert not monitor.is_worth_waiting(100.0, 0.15)
     assert monitor.is_worth_waiting(100.0, 0.25)
 
 
-def test_a_call_starts_when_the_spell_ends_and_a_short_one_meanwhile() -> None:
+def test_a_long_call_starts_after_the_slow_period_and_a_short_one_within_it() -> None:
     slots = DueQueue(QueueLimits(4, 10, 0, 8))
     slots.pace.record(0.0, 500)
     assert slots.submit(0.0, 1, QueuedCall(1.0, 0.6, LONG_S, 3.0)) == Wait(1)
@@ -58,9 +58,7 @@
     assert slots.advance(0.1) == [Start(1)]
 
 
-def test_a_call_that_waited_for_a_spell_in_vain_is_refused_while_others_may_still_serve_it() -> (
-    None
-):
+def test_a_call_that_waits_in_a_slow_period_is_refused_at_start_by() -> None:
     slots = DueQueue(QueueLimits(4, 10, 0, 8))
     for step in range(10):
         slots.pace.record(step * 0.05, 500)
--- a/tests/unit/admission/test_ramp.py
+++ b/tests/unit/admission/test_ramp.py
@@ -1,7 +1,6 @@
-"""An upstream that has just started is given a call at a time, and more with each answer.
+"""Tests of the ramp of an upstream that has just started.
 
-Five of six upstreams that had all started at once, each given a call for every slot at once, ended
-under that within 0.6 s, were back 3 s later, and ended again, for as long as callers came.
+They guard against an upstream that crashes after each restart under a call for every slot at once.
 """
 
 from __future__ import annotations
@@ -19,53 +18,53 @@
 """Slots of each upstream."""
 WORK_S = 0.05
 """Time of a call, seconds."""
-BORNE_AT_FIRST = 2
-"""Calls at once that an upstream bears when it has just started; one more with each answer."""
-BACK_S = 3.0
-"""Time until an upstream that has ended is back, seconds."""
+INITIAL_CAPACITY = 2
+"""Concurrent calls that a new upstream can handle; one more with each answer."""
+RESTART_S = 3.0
+"""Time until a crashed upstream is back, seconds."""
 
 
-class Played(NamedTuple):
-    """How often the upstream ended, and what it answered."""
+class Outcome(NamedTuple):
+    """How often the upstream crashed, and how many calls it answered."""
 
-    ended: int
+    crashes: int
     answered: int
 
 
-def play(ramped: bool, length_s: float = 20.0) -> Played:
-    """Let many callers press on one upstream that has just started."""
+def simulate(ramped: bool, length_s: float = 20.0) -> Outcome:
+    """Simulate many callers of an upstream that has just started."""
     env = simpy.Environment()
     queue = DueQueue(QueueLimits(SLOTS, 100, 0, 8))
-    state = {"answers": 0, "life": 0, "ended": 0, "answered": 0, "up": True}
+    state = {"answers": 0, "incarnation": 0, "crashes": 0, "answered": 0, "up": True}
 
     def begin() -> None:
         state["answers"] = 0
-        state["life"] += 1
+        state["incarnation"] += 1
         state["up"] = True
         if ramped:
             queue.cold.reset_on_replacement()
 
-    def work(ticket: int, life: int):  # type: ignore[no-untyped-def]
-        if queue.busy > BORNE_AT_FIRST + state["answers"] and state["up"]:
+    def work(ticket: int, incarnation: int):  # type: ignore[no-untyped-def]
+        if queue.busy > INITIAL_CAPACITY + state["answers"] and state["up"]:
             state["up"] = False
-            state["ended"] += 1
-            env.process(back())
+            state["crashes"] += 1
+            env.process(restart())
         yield env.timeout(WORK_S)
-        good = state["up"] and state["life"] == life
+        good = state["up"] and state["incarnation"] == incarnation
         state["answers"] += good
         state["answered"] += good
         if good:
             queue.cold.record_answer()
         start(queue.release(env.now, WORK_S if good else None))
 
-    def back():  # type: ignore[no-untyped-def]
-        yield env.timeout(BACK_S)
+    def restart():  # type: ignore[no-untyped-def]
+        yield env.timeout(RESTART_S)
         begin()
 
     def start(decisions):  # type: ignore[no-untyped-def]
         for decision in decisions:
             if isinstance(decision, Start):
-                env.process(work(decision.ticket, state["life"]))
+                env.process(work(decision.ticket, state["incarnation"]))
 
     def callers():  # type: ignore[no-untyped-def]
         ticket = 0
@@ -79,17 +78,17 @@
     begin()
     env.process(callers())
     env.run(until=length_s)
-    return Played(state["ended"], state["answered"])
+    return Outcome(state["crashes"], state["answered"])
 
 
-def test_one_that_bears_little_at_first_is_not_ended_again_and_again() -> None:
-    at_once, ramped = play(ramped=False), play(ramped=True)
-    assert at_once.ended >= 6
-    assert ramped.ended == 0
+def test_the_ramp_prevents_repeated_crashes() -> None:
+    at_once, ramped = simulate(ramped=False), simulate(ramped=True)
+    assert at_once.crashes >= 6
+    assert ramped.crashes == 0
     assert ramped.answered > 10 * at_once.answered
 
 
-def test_where_it_is_told_what_is_borne_that_alone_counts() -> None:
+def test_a_known_rate_replaces_the_ramp() -> None:
     queue = DueQueue(QueueLimits(SLOTS, 100, 0, 8))
     queue.cold.set_rate(-10.0, ColdRate(4.0, 3.0))
     queue.cold.reset_on_replacement()
@@ -99,13 +98,13 @@
     assert started == [Start] * 4 + [Wait] * 2
 
 
-def test_room_grows_with_answers_to_all_slots() -> None:
+def test_usable_slots_grow_with_answers_up_to_all() -> None:
     ramp = Ramp()
     assert ramp.usable_slots(3) == 3
     ramp.begin()
-    rooms = []
+    usable = []
     for _ in range(4):
-        rooms.append(ramp.usable_slots(3))
+        usable.append(ramp.usable_slots(3))
         ramp.record_answer()
-    assert rooms == [1, 2, 3, 3]
+    assert usable == [1, 2, 3, 3]
     assert ramp.usable_slots(9) == 9
--- a/tests/unit/admission/test_refusal_rates.py
+++ b/tests/unit/admission/test_refusal_rates.py
@@ -1,4 +1,4 @@
-"""No rank is refused far more often than a less urgent one, and none starves."""
+"""Tests that no rank is refused far more often than a less urgent one, and that none starves."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from foldhoist.delivery.dispatch import Ticket
 
 
-def test_a_rank_yields_while_a_more_urgent_one_is_refused_a_larger_share() -> None:
+def test_a_rank_has_low_priority_while_a_more_urgent_one_is_refused_more_often() -> None:
     rates = RefusalRates()
     for number in range(int(MIN_DECISIONS) + 5):
         rates.record(0.0, 1, refused=number % 2 == 0)
@@ -23,7 +23,7 @@
     assert not rates.is_low_priority(0.1, 2)
 
 
-def test_few_decisions_and_old_ones_say_nothing() -> None:
+def test_few_or_old_decisions_are_ignored() -> None:
     rates = RefusalRates()
     rates.record(0.0, 0, refused=True)
     assert not rates.is_low_priority(0.0, 1)
@@ -45,7 +45,7 @@
     return {**plain, "due_ms": 800, "expect_ms": 100, **fields}
 
 
-def test_a_nested_call_has_the_rank_of_what_it_is_a_part_of() -> None:
+def test_a_nested_call_has_the_rank_of_its_parent() -> None:
     slots = DueQueue(QueueLimits(4, 10, 0, 8))
     for number in range(40):
         slots.queued_call(0.0, call("post", ("web", "pay")[number % 2], 1), 1.0, 2.5)
@@ -55,8 +55,8 @@
     assert slots.queued_call(0.0, call("post", "web", 1, parent_rank=2), 1.0, 2.5).rank == 1
 
 
-def test_urgent_long_calls_are_refused_no_more_often_than_less_urgent_short_ones() -> None:
-    """One slot; calls of rank 2 are due sooner and are short, those of rank 1 are the more."""
+def test_urgent_calls_are_refused_no_more_often_than_others_that_are_due_sooner() -> None:
+    """One slot under overload; calls of rank 2 are due sooner than those of rank 1."""
     slots = DueQueue(QueueLimits(1, 50, 0, 8))
     ranks: dict[int, int] = {}
     started: set[int] = set()
--- a/tests/unit/admission/test_retries.py
+++ b/tests/unit/admission/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of the budget for further attempts, of one daemon and of all together."""
+"""Tests of the retry budget of one daemon and of all daemons together."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     assert retries <= 1000 * 0.1 + RetryBudget.RESERVE
 
 
-def test_a_call_that_is_a_repeat_itself_costs_a_retry() -> None:
-    """Symptom: repeats added up along a chain. Cause: each earned a share of a further attempt."""
+def test_a_call_caused_by_a_retry_costs_a_token() -> None:
+    """Guards against retries that multiply along a chain of services."""
     budget = RetryBudget(0.1, random.Random(1))
     budget.record_call(repeat=1.0)
     for _ in range(9):
@@ -35,7 +35,7 @@
     assert not half.spend()
 
 
-def test_what_repeats_owe_has_an_end() -> None:
+def test_the_debt_for_repeats_is_bounded() -> None:
     budget = RetryBudget(0.5, random.Random(1))
     for _ in range(1000):
         budget.record_call(repeat=1.0)
@@ -51,12 +51,12 @@
 
 
 ATTEMPTS = 4
-"""Upstreams that a call may be sent to."""
+"""Upstreams to which a call may be sent."""
 ALLOWED = Allowance()
 
 
 class Fleet:
-    """The retry budgets for one service of daemons that know nothing of each other's."""
+    """The retry budgets of daemons for one service; no daemon knows the others' calls."""
 
     def __init__(self, daemons: int) -> None:
         self.rng = random.Random(5)
@@ -67,7 +67,7 @@
         self.start(daemons)
 
     def start(self, known: int) -> None:
-        """Start all daemons anew; each knows of so many at first."""
+        """Restart all daemons; each knows of `known` daemons at first."""
         self.services = [
             Services("a", self.rng, RetrySlack(ALLOWED.slack, ALLOWED.window_s))
             for _ in range(self.daemons)
@@ -80,12 +80,12 @@
         self.budgets = [state.budget for state in states if state is not None]
 
     def learn(self, known: int) -> None:
-        """Let all daemons know of so many."""
+        """Set the number of daemons that each one knows of."""
         for services in self.services:
             services.track(self.now, {}, (), known)
 
     def call(self, daemon: int, fails: bool = True) -> None:
-        """Let a call enter at a daemon; one that fails is sent again as often as it may be."""
+        """Start a call at a daemon; a failing one is retried as often as the budget allows."""
         self.calls.append(self.now)
         budget = self.budgets[daemon]
         budget.record_call(self.now)
@@ -94,7 +94,7 @@
                 self.spent.append(self.now)
 
     def most_over(self) -> float:
-        """Return by how many the further attempts of the worst window exceed what is allowed."""
+        """Return by how many retries the worst window exceeds the allowance."""
         return ALLOWED.most_over(self.spent, self.calls)
 
 
@@ -103,7 +103,7 @@
 def test_all_daemons_together_stay_within_the_allowance_in_any_window(
     daemons: int, per_s: int
 ) -> None:
-    """Every daemon sends again whenever it can; nobody knows of the others."""
+    """Every daemon retries whenever it can, without knowing the others' retries."""
     fleet = Fleet(daemons)
     for step in range(30 * per_s):
         fleet.now = step / per_s
@@ -113,11 +113,10 @@
 
 
 @pytest.mark.parametrize("daemons", [1, 8, 13, 16, 24, 88, 300])
-def test_what_daemons_hold_from_long_ago_stays_within_the_allowance(daemons: int) -> None:
-    """Symptom: more further attempts in a window than its calls and the slack allow.
+def test_saved_tokens_stay_within_the_allowance(daemons: int) -> None:
+    """Guards against too many retries when all daemons have saved tokens.
 
-    Sequence: each of many daemons has few calls and no reason to retry for a while; then all have
-    one. Cause: each held a whole attempt, however many daemons share the slack.
+    Many daemons with few calls have no reason to retry for a while; then all have one.
     """
     fleet = Fleet(daemons)
     for step in range(2000):
@@ -128,11 +127,8 @@
     assert fleet.most_over() <= 0.0
 
 
-def test_a_service_whose_options_change_keeps_what_it_has_spent() -> None:
-    """Symptom: further attempts without end while options change.
-
-    Cause: each change began a new budget, with one attempt: 49 changes gave 49.
-    """
+def test_a_service_whose_options_change_keeps_its_budget() -> None:
+    """Guards against a new budget, and with it a further retry, for each change of options."""
     services = Services("a", random.Random(5), RetrySlack(ALLOWED.slack, ALLOWED.window_s))
     fleet, _ = parse_fleet(fleet_text(3), "x")
     spent = 0
@@ -149,16 +145,15 @@
 @pytest.mark.parametrize("known", [1, 8, 88])
 @pytest.mark.parametrize("daemons", [8, 13, 16, 88])
 @pytest.mark.parametrize("per_s", [10, 50, 300])
-def test_daemons_that_all_start_anew_twice_in_a_window_stay_within_the_allowance(
+def test_daemons_that_all_restart_twice_in_a_window_stay_within_the_allowance(
     per_s: int, daemons: int, known: int
 ) -> None:
-    """Symptom: more further attempts in a window than its calls and the slack allow.
+    """Guards against too many retries after restarts.
 
-    Sequence: all daemons start anew, and again; each knows of few others for half a second. Cause:
-    each life began with a reserve, larger while it knew of few.
+    Daemons that have just started know of few others and must not each use a large reserve.
     """
     fleet = Fleet(daemons)
-    happens = {
+    events = {
         2 * per_s: lambda: fleet.start(known),
         5 * per_s // 2: lambda: fleet.learn(daemons),
         6 * per_s: lambda: fleet.start(known),
@@ -166,7 +161,7 @@
     }
     for step in range(10 * per_s):
         fleet.now = step / per_s
-        if step in happens:
-            happens[step]()
+        if step in events:
+            events[step]()
         fleet.call(fleet.rng.randrange(daemons))
     assert fleet.most_over() <= 0.0
--- a/tests/unit/admission/test_slots.py
+++ b/tests/unit/admission/test_slots.py
@@ -18,7 +18,7 @@
     assert isinstance(queue.submit(0.0, 9, True, 1.0), Start)
 
 
-def test_urgent_calls_go_first_but_not_for_ever() -> None:
+def test_urgent_calls_go_first_without_starving_ordinary_ones() -> None:
     queue = SlotQueue(SHAPE._replace(queue=100))
     for ticket in range(4):
         queue.submit(0.0, ticket, True, 9.0)
@@ -29,7 +29,7 @@
     assert 100 in started[: SHAPE.urgent_run + 1]
 
 
-def test_what_cannot_start_in_time_is_refused_at_arrival_with_a_time_to_come_back() -> None:
+def test_a_call_that_cannot_start_in_time_is_refused_on_arrival_with_a_retry_time() -> None:
     queue = SlotQueue(SHAPE._replace(queue=100))
     queue.service_s = 0.1
     for ticket in range(20):
@@ -48,7 +48,7 @@
 
 
 class SlotMachine(RuleBasedStateMachine):
-    """Random calls, ends, withdrawals and waits, against a plain account of them."""
+    """Compares the queue with a simple model under random calls, ends, withdrawals and waits."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/unit/quarantine/test_identity.py
+++ b/tests/unit/quarantine/test_identity.py
@@ -1,4 +1,4 @@
-"""Tests of by what a call is known when it comes again."""
+"""Tests of the identity of calls."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 }
 
 
-def test_other_headers_and_their_order_change_nothing() -> None:
+def test_headers_other_than_the_host_do_not_change_the_identity() -> None:
     again = [[b"X-Attempt", b"2"], [b"host", b"SHOP.example"]]
     assert identity_of(**PLAIN) == identity_of(**{**PLAIN, "headers": again})
 
@@ -33,5 +33,5 @@
         ("caller", "till"),
     ],
 )
-def test_what_is_asked_and_by_whom_counts(field: str, value: Any) -> None:
+def test_the_request_and_its_caller_change_the_identity(field: str, value: Any) -> None:
     assert identity_of(**PLAIN) != identity_of(**{**PLAIN, field: value})
--- a/tests/unit/quarantine/test_table.py
+++ b/tests/unit/quarantine/test_table.py
@@ -1,4 +1,4 @@
-"""Tests of what all daemons together know of calls under which upstreams end."""
+"""Tests of the quarantine of calls under which upstreams crash."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
     return {"call": call, "crashes": list(crashes), "refuted": list(refuted), "age_ms": age_ms}
 
 
-def test_a_call_is_held_after_crashes_at_two_daemons() -> None:
+def test_a_call_is_quarantined_after_crashes_at_two_daemons() -> None:
     here, there = Quarantine("here"), Quarantine("there")
-    news = here.record_crash(1.0, ["x", "y"])
-    assert there.merge(1.0, news) == []
+    changed = here.record_crash(1.0, ["x", "y"])
+    assert there.merge(1.0, changed) == []
     assert not there.active
     there.record_crash(1.1, ["x"])
     assert there.remaining_s(1.1, "x") == QUARANTINE_S
     assert there.remaining_s(1.1, "y") == 0.0
 
 
-def test_the_same_crash_counts_once_however_often_it_is_told() -> None:
+def test_the_same_crash_counts_once_however_often_it_is_reported() -> None:
     quarantine = Quarantine("here")
     for _ in range(CRASH_THRESHOLD + 1):
         assert quarantine.merge(1.0, [row("x", "a/1")]) == []
@@ -47,24 +47,24 @@
 def test_an_answer_refutes_the_crashes_before_it() -> None:
     quarantine = Quarantine("here")
     quarantine.merge(1.0, [row("x", "a/1", "b/1")])
-    told = quarantine.record_answer(2.0, "x")
+    changed = quarantine.record_answer(2.0, "x")
     assert not quarantine.active
     other = Quarantine("there")
     other.merge(1.0, [row("x", "a/1", "b/1")])
-    other.merge(2.0, told)
+    other.merge(2.0, changed)
     assert not other.active
     assert other.merge(2.1, [row("x", "a/1", "b/1")]) == []
 
 
-def test_a_call_that_was_answered_here_is_forgiven_one_crash() -> None:
-    """Else what most callers ask for were refused everywhere when a data centre has lost power."""
+def test_a_call_that_was_answered_here_is_exempt_from_one_crash() -> None:
+    """Guards against a quarantine of common calls when a data centre loses power."""
     quarantine = Quarantine("here")
     quarantine.record_answer(0.0, "x")
     assert quarantine.record_crash(1.0, ["x"]) == []
     assert len(quarantine.record_crash(2.0, ["x"])) == 1
 
 
-def test_a_hold_ends_and_is_longer_with_each_crash_after_it() -> None:
+def test_a_quarantine_ends_and_is_longer_after_a_further_crash() -> None:
     quarantine = Quarantine("here")
     quarantine.merge(0.0, [row("x", "a/1", "b/1")])
     assert quarantine.remaining_s(QUARANTINE_S + 0.1, "x") == 0.0
@@ -72,7 +72,7 @@
     assert quarantine.remaining_s(QUARANTINE_S + 1.0, "x") == 2 * QUARANTINE_S
 
 
-def test_a_hold_is_not_renewed_by_who_tells_of_it() -> None:
+def test_a_quarantine_is_not_renewed_by_repeated_reports() -> None:
     quarantine = Quarantine("here")
     quarantine.merge(100.0, [row("x", "a/1", "b/1", age_ms=60_000)])
     assert quarantine.remaining_s(100.0, "x") == QUARANTINE_S - 60.0
@@ -80,15 +80,15 @@
     assert quarantine.remaining_s(200.0, "x") == QUARANTINE_S - 160.0
 
 
-def test_what_a_newcomer_is_told_makes_it_hold_the_same() -> None:
+def test_a_new_daemon_quarantines_the_same_calls() -> None:
     quarantine = Quarantine("here")
     quarantine.merge(0.0, [row("x", "a/1", "b/1"), row("y", "a/1")])
-    newcomer = Quarantine("new")
-    newcomer.merge(50.0, quarantine.rows(50.0))
-    assert newcomer.remaining_s(50.0, "x") == quarantine.remaining_s(50.0, "x") > 0.0
+    new_daemon = Quarantine("new")
+    new_daemon.merge(50.0, quarantine.rows(50.0))
+    assert new_daemon.remaining_s(50.0, "x") == quarantine.remaining_s(50.0, "x") > 0.0
 
 
-def test_the_store_keeps_what_this_daemon_has_seen() -> None:
+def test_a_daemon_stores_and_restores_its_own_crashes() -> None:
     quarantine = Quarantine("here")
     quarantine.record_crash(0.0, ["x"])
     quarantine.merge(0.0, [row("x", "b/1"), row("y", "a/1", "b/1")])
@@ -99,7 +99,7 @@
     assert later.active
 
 
-def test_what_is_noted_is_bounded() -> None:
+def test_the_number_of_remembered_calls_is_bounded() -> None:
     quarantine = Quarantine("here")
     quarantine.merge(0.0, [row("x", "a/1", "b/1")])
     quarantine.record_crash(1.0, [f"n{number}" for number in range(MAX_SUSPECTS)])
@@ -125,10 +125,10 @@
 
 
 @given(ROWS, st.randoms(use_true_random=False), st.booleans())
-def test_daemons_that_heard_the_same_hold_the_same(
+def test_daemons_with_the_same_reports_quarantine_the_same_calls(
     rows: list[Suspect], order: random.Random, twice: bool
 ) -> None:
-    """News come in any order, and again when a connection is made anew."""
+    """Reports come in any order, and again when a connection is re-established."""
     first, second = Quarantine("first"), Quarantine("second")
     shuffled = rows * (2 if twice else 1)
     order.shuffle(shuffled)
