--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -360,9 +360,9 @@
             case SlotQueue() as queue:
                 decision = queue.submit(now, ticket_id, req["urgent"], ticket.start_by)
             case DueQueue() as queue:
-                queued = queue.queued_call(now, req, ticket.start_by, ticket.deadline)
-                ticket.rank = queued.rank
-                decision = queue.submit(now, ticket_id, queued)
+                new_call = queue.queued_call(now, req, ticket.start_by, ticket.deadline)
+                ticket.rank = new_call.rank
+                decision = queue.submit(now, ticket_id, new_call)
         return self._apply(now, [decision])
 
     def _apply(self, now: float, decisions: list[Decision]) -> list[Action]:
--- a/tests/unit/admission/test_concurrency_limit.py
+++ b/tests/unit/admission/test_concurrency_limit.py
@@ -19,9 +19,9 @@
 CALLS = 400
 
 
-def service_time(rng: random.Random, *, slowdown: float, nested: bool) -> float:
+def service_time(rng: random.Random, *, factor: float, nested: bool) -> float:
     """Return a service time around 0.1 s; a quarter of the calls take seven times as long."""
-    work = 0.1 * rng.lognormvariate(0.0, 0.3) * slowdown
+    work = 0.1 * rng.lognormvariate(0.0, 0.3) * factor
     if rng.random() < 0.25:
         work *= 7.0
     if nested and rng.random() < 0.7:
@@ -38,7 +38,7 @@
         concurrent = rng.randint(1, limit.slots)
         loaded = concurrent > limit.safe_slots
         waits = nested and (loaded or rng.random() < 0.3)
-        took = service_time(rng, slowdown=slowdown if loaded else 1.0, nested=waits)
+        took = service_time(rng, factor=slowdown if loaded else 1.0, nested=waits)
         limit.record_answer(number / 10, ROUTE, concurrent, took)
         if limit.current(number / 10) < limit.slots:
             return number
--- a/tests/unit/admission/test_due.py
+++ b/tests/unit/admission/test_due.py
@@ -16,7 +16,7 @@
     return DueQueue(QueueLimits(slots, most, 0, 8))
 
 
-def queued(
+def make_call(
     due: float, start_by: float = 9.0, expect: float = 0.1, deadline: float = 10.0
 ) -> QueuedCall:
     return QueuedCall(due, start_by, expect, deadline)
@@ -24,28 +24,28 @@
 
 def test_the_call_that_is_due_first_goes_first() -> None:
     slots = queue()
-    assert slots.submit(0.0, 1, queued(5.0)) == Start(1)
-    assert slots.submit(0.0, 2, queued(4.0)) == Wait(2)
-    assert slots.submit(0.0, 3, queued(2.0)) == Wait(3)
+    assert slots.submit(0.0, 1, make_call(5.0)) == Start(1)
+    assert slots.submit(0.0, 2, make_call(4.0)) == Wait(2)
+    assert slots.submit(0.0, 3, make_call(2.0)) == Wait(3)
     assert slots.release(0.5, 0.5) == [Start(3)]
     assert slots.release(1.0, 0.5) == [Start(2)]
 
 
 def test_calls_that_cannot_be_on_time_wait_behind_those_that_can() -> None:
     slots = queue()
-    slots.submit(0.0, 1, queued(5.0))
-    slots.submit(0.0, 2, queued(1.0))
-    slots.submit(0.0, 3, queued(4.0))
+    slots.submit(0.0, 1, make_call(5.0))
+    slots.submit(0.0, 2, make_call(1.0))
+    slots.submit(0.0, 3, make_call(4.0))
     assert slots.release(2.0, 2.0) == [Start(3)]
     assert slots.release(3.0, 1.0) == [Start(2)]
 
 
 def test_a_late_call_takes_a_free_slot_but_not_after_its_deadline() -> None:
     slots = queue()
-    slots.submit(0.0, 1, queued(5.0))
-    slots.submit(0.0, 2, queued(1.0, start_by=1.5, deadline=4.0))
+    slots.submit(0.0, 1, make_call(5.0))
+    slots.submit(0.0, 2, make_call(1.0, start_by=1.5, deadline=4.0))
     assert slots.release(2.0, 2.0) == [Start(2)]
-    slots.submit(2.0, 3, queued(3.0, start_by=3.5, deadline=4.0))
+    slots.submit(2.0, 3, make_call(3.0, start_by=3.5, deadline=4.0))
     (refused,) = slots.release(3.95, 2.0)
     assert isinstance(refused, Refuse)
     assert slots.busy == 0
@@ -53,17 +53,17 @@
 
 def test_a_call_that_would_wait_too_long_is_refused_at_once_with_a_retry_time() -> None:
     slots = queue()
-    slots.submit(0.0, 1, queued(9.0))
-    slots.submit(0.0, 2, queued(1.0, expect=0.5))
-    refused = slots.submit(0.0, 3, queued(2.0, start_by=0.3))
+    slots.submit(0.0, 1, make_call(9.0))
+    slots.submit(0.0, 2, make_call(1.0, expect=0.5))
+    refused = slots.submit(0.0, 3, make_call(2.0, start_by=0.3))
     assert isinstance(refused, Refuse)
     assert refused.retry_after_s >= 0.5
 
 
 def test_waiting_calls_are_refused_at_start_by() -> None:
     slots = queue()
-    slots.submit(0.0, 1, queued(9.0))
-    slots.submit(0.0, 2, queued(5.0, start_by=0.2))
+    slots.submit(0.0, 1, make_call(9.0))
+    slots.submit(0.0, 2, make_call(5.0, start_by=0.2))
     assert slots.next_at(0.0) == 0.2
     assert slots.expire(0.1) == []
     assert [type(each) for each in slots.expire(0.2)] == [Refuse]
@@ -73,7 +73,7 @@
 def test_a_free_slot_is_taken_by_a_call_that_is_expected_to_be_late() -> None:
     """The expected service time may be too high."""
     slots = queue()
-    late = queued(due=1.0, start_by=0.5, expect=0.9, deadline=2.0)
+    late = make_call(due=1.0, start_by=0.5, expect=0.9, deadline=2.0)
     assert slots.submit(0.6, 1, late) == Start(1)
     assert isinstance(slots.submit(0.6, 2, late), Refuse)
     slots.release(0.7, 0.1)
@@ -141,7 +141,7 @@
         now += 0.1
         match kind:
             case 0 | 1:
-                new_call = queued(now + amount, now + amount / 2, 0.1, now + 2 * amount)
+                new_call = make_call(now + amount, now + amount / 2, 0.1, now + 2 * amount)
                 take([slots.submit(now, ticket, new_call)])
             case 2 if running:
                 running.pop()
@@ -163,8 +163,8 @@
     for _ in range(20):
         nested = slots.queued_call(0.0, call("stock", "web", due_ms=100), 0.025, 0.4)
     assert nested.start_by > 0.1
-    slots.submit(0.0, 1, queued(5.0))
-    assert slots.submit(0.0, 2, queued(0.6)) == Wait(2)
+    slots.submit(0.0, 1, make_call(5.0))
+    assert slots.submit(0.0, 2, make_call(0.6)) == Wait(2)
     assert slots.submit(0.0, 3, nested) == Wait(3)
     assert slots.release(0.15, 0.1) == [Start(3)]
 
