--- a/foldhoist/admission/refusal_rates.py
+++ b/foldhoist/admission/refusal_rates.py
@@ -11,7 +11,7 @@
 RATE_MARGIN = 0.3
 """A rank gets low priority if a more urgent one has a refusal rate higher by more than this.
 
-Calls of less urgent ranks are mostly parts of others, whose work is lost when they are refused. So
+Calls of low priority are mostly parts of others, whose work is lost when they are refused. So
 small differences are ignored.
 """
 
