--- a/foldhoist/customers/__init__.py
+++ b/foldhoist/customers/__init__.py
@@ -1,1 +1,1 @@
-"""Customers: whose calls these are, and how many of each may run; no I/O, no clock."""
+"""Customer identification by API key, and quotas; no I/O, and times are passed in."""
--- a/foldhoist/customers/candidates.py
+++ b/foldhoist/customers/candidates.py
@@ -1,4 +1,4 @@
-"""Which hosts keep the quotas of customers: everyone who knows the same hosts picks the same."""
+"""Choice of the quota servers; hosts that know the same hosts choose the same servers."""
 
 from __future__ import annotations
 
@@ -11,22 +11,25 @@
     from collections.abc import Iterable
 
 MIN_CANDIDATES = 8
-"""Hosts that keep quotas at least: each daemon is connected with all of them."""
+"""Fewest candidates, if there are as many hosts; each daemon is connected to all of them."""
 HOSTS_PER_CANDIDATE = 16
-"""Of more hosts, one in so many keeps quotas, so that the work of one stays bounded."""
+"""In a larger fleet one host in this many is a candidate, which bounds the load on each."""
 _RANKING_KEY = "keeper of quotas"
-"""What the hosts are ranked for."""
+"""Key of the ranking of hosts; all daemons must use the same."""
 
 
 def quota_server_candidates(hosts: Iterable[str]) -> tuple[str, ...]:
-    """Return the hosts that keep quotas; one host more or less moves one seat at most or two."""
+    """Return the hosts that may serve quotas, sorted by name.
+
+    Adding or removing one host changes at most two of them.
+    """
     names = set(hosts)
     count = max(MIN_CANDIDATES, len(names) // HOSTS_PER_CANDIDATE)
     return tuple(sorted(sorted(names, key=_weight, reverse=True)[:count]))
 
 
 def ranked_servers(customer: str, candidates: Iterable[str]) -> list[str]:
-    """Return the hosts that may keep a customer's quota, the first to be asked first."""
+    """Return the candidates in the order in which they are asked for a customer's credit."""
     return ranked(candidates, customer)
 
 
--- a/foldhoist/customers/credit.py
+++ b/foldhoist/customers/credit.py
@@ -1,9 +1,9 @@
-"""An ingress's side of quotas: credit lent by keepers, and the calls that wait for some.
+"""The ingress's side of quotas: credit granted by quota servers, and calls that wait for it.
 
-A call of a limited customer runs on credit that the customer's keeper has lent to this host.
-Without any the keeper is asked, and the call waits for its answer: as long as a message takes there
-and back. A keeper that does not answer is left alone for a while and the next one is asked; if none
-answers, this host goes by its own share of the quota.
+A call of a customer with a quota spends credit that a quota server has granted to this host.
+Without credit, the client asks the customer's quota server, and the call waits for the answer. A
+server that does not answer is suspected for a while and the next one is asked. If none answers,
+this host admits calls at its own share of the quota.
 """
 
 from __future__ import annotations
@@ -25,41 +25,41 @@
 OVER_QUOTA = "over-quota"
 """Reason of a refusal: the customer's quota is used up."""
 NO_QUOTA_SERVER = "quota-unknown"
-"""Reason of a refusal: no keeper of the quota answers, and this host's own share is used up."""
+"""Reason of a refusal: no quota server answers, and this host's own share is used up."""
 ANSWER_TIMEOUT_S = 0.25
-"""Longest wait for a keeper's answer, seconds: a link full of large answers delays it so much."""
+"""Longest wait for a quota server's answer, seconds; large answers on the same link delay it."""
 MAX_SERVERS_ASKED = 2
-"""Keepers that are asked for one call, one after the other."""
+"""Quota servers asked one after the other before this host uses its own share."""
 CREDIT_LIFETIME_S = 0.5
-"""Credit that is not used for this long is given up, seconds: others may want it."""
+"""Credit expires this long after the request for it, seconds, so that it is not hoarded."""
 PREFETCH_S = 0.25
-"""Credit is asked for what comes within this time, too, seconds."""
+"""Credit is also requested for the calls expected within this time, seconds."""
 DEMAND_DECAY_S = 1.0
-"""Calls count by 1/e after this long in what is expected to come, seconds."""
+"""Time constant of the decaying count of calls that predicts demand, seconds."""
 MAX_DENIAL_PAUSE_S = 0.25
-"""After a denial no more credit is asked for until then at most, seconds.
+"""Longest pause in requests for credit after a denial, seconds.
 
-The keeper of a customer that sends many times its usual hears of each host so often at most.
+The pause limits the requests that a quota server gets from each host for an overloading customer.
 """
 SUSPECT_S = 1.0
-"""A keeper that has not answered is asked again after this long, seconds."""
+"""A quota server that has not answered is not asked for this long, seconds."""
 OWN_SHARE_RETRY_AFTER_S = 0.5
-"""When a caller is told to come back while no keeper answers, seconds."""
+"""Retry-after of a call denied while no quota server answers, seconds."""
 ACCOUNT_EXPIRY_S = 10.0
-"""A customer without calls here is forgotten after this long or twice as long, seconds."""
+"""Interval of the removal of accounts, and how long one must be without calls, seconds."""
 RETRY_JITTER = 0.5
-"""Callers are told to come back later than there is credit by up to this share of the time."""
+"""A denied call's retry-after is extended at random by up to this share of it."""
 
 
 class Granted(NamedTuple):
-    """A call that may run; `scarce` says that the customer has used up most of its burst."""
+    """A call that may run; `over_burst` if the customer has used more than half of its burst."""
 
     call_id: int
     over_burst: bool
 
 
 class Denied(NamedTuple):
-    """A call that may not run; there may be credit after `again_s` seconds."""
+    """A call that may not run; credit may be available after `retry_after_s` seconds."""
 
     call_id: int
     reason: str
@@ -67,7 +67,7 @@
 
 
 class Ask(NamedTuple):
-    """Send this to a keeper."""
+    """A request for credit to send to a quota server."""
 
     server: str
     message: CreditAsk
@@ -77,7 +77,7 @@
 
 
 class _PendingAsk(NamedTuple):
-    """A question without an answer: its number, whom, when, seconds."""
+    """An unanswered request: its id, the quota server, and when it was sent (seconds)."""
 
     ask_id: int
     server: str
@@ -85,7 +85,7 @@
 
 
 class _Account:
-    """What is known here of one customer's quota; times are seconds, monotonic."""
+    """Credit and pending request of one customer at this host; times are monotonic seconds."""
 
     __slots__ = (
         "credit",
@@ -123,7 +123,7 @@
         self.server_since = now
 
     def spend(self, now: float) -> bool:
-        """Use credit for one call, if there is any."""
+        """Spend the credit of one call; returns False if there is none."""
         if now >= self.credit_until:
             self.credit = 0
         if self.credit < 1:
@@ -133,7 +133,10 @@
 
 
 class CreditClient:
-    """Credit of all customers with calls at this host; `now` is in seconds, monotonic."""
+    """Obtains and spends credit for all customers with calls at this host.
+
+    `now` is in monotonic seconds.
+    """
 
     def __init__(self, rng: Random) -> None:
         self.asks = 0
@@ -151,7 +154,7 @@
         self._forget_at = 0.0
 
     def adopt(self, now: float, directory: Directory) -> list[Step]:
-        """Take over a configuration; calls that wait for credit they no longer need may run."""
+        """Apply a configuration; grants the waiting calls of customers that have no quota now."""
         steps: list[Step] = []
         for name, account in list(self._accounts.items()):
             customer = directory.named(name)
@@ -164,7 +167,7 @@
         return steps
 
     def set_hosts(self, hosts: Iterable[str]) -> None:
-        """Take over the hosts that are known, this one included."""
+        """Set the known hosts, this one included."""
         known = frozenset(hosts)
         if known != self._known_hosts:
             self._known_hosts = known
@@ -172,7 +175,7 @@
             self._host_count = max(1, len(known))
 
     def admit(self, now: float, customer: Customer, call_id: int) -> list[Step]:
-        """Decide on a call of a limited customer, at once or when its keeper has answered."""
+        """Decide on a call of a customer with a quota, or queue it until a server answers."""
         account = self._accounts.get(customer.name)
         if account is None:
             account = self._accounts[customer.name] = _Account(customer, now)
@@ -186,19 +189,19 @@
         return self._ask(now, account) if account.pending is None else []
 
     def on_credit(self, now: float, message: Credit) -> list[Step]:
-        """Take in a keeper's answer; one that comes too late counts for nothing."""
+        """Handle a quota server's answer; an answer to no pending request is ignored."""
         account = self._pending.pop(message["ask"], None)
         if account is None or account.pending is None:
             self.late += 1
             return []
         pending, account.pending = account.pending, None
-        # Until now this keeper has had this host's share.
+        # This host's share has been lent to the server until now.
         account.own_credit, account.own_credit_at = 0.0, now
         if not message["known"]:
             account.tried.add(pending.server)
             return self._ask(now, account)
         if now - pending.at > CREDIT_LIFETIME_S:
-            # This host has stood still: the credit is of then.
+            # This process stalled: the credit has expired.
             return self._ask(now, account)
         account.tried.clear()
         account.over_burst = message["scarce"]
@@ -213,7 +216,7 @@
         return self._decide_waiting(now, account, denied=retry_after_s > 0)
 
     def link_changed(self, now: float, host: str, *, up: bool) -> list[Step]:
-        """Take in that a host is connected, or not any more."""
+        """Handle that a connection to a host was opened or lost."""
         if up:
             self._connected.add(host)
             return []
@@ -226,7 +229,7 @@
         return steps
 
     def tick(self, now: float) -> list[Step]:
-        """Ask others in place of keepers that have not answered, forget who has no calls."""
+        """Time out pending requests, ask the next servers, and drop accounts without calls."""
         steps: list[Step] = []
         for account in list(self._pending.values()):
             pending = account.pending
@@ -245,14 +248,14 @@
         return steps
 
     def next_at(self) -> float | None:
-        """Return when `tick` has a question to end, None for never."""
+        """Return when the oldest pending request times out, None if there is none."""
         oldest = next(iter(self._pending.values()), None)
         if oldest is None or oldest.pending is None:
             return None
         return oldest.pending.at + ANSWER_TIMEOUT_S
 
     def return_credit(self, now: float, customer: Customer) -> None:
-        """Take back the credit of a call that did not run; the next one may use it."""
+        """Return the credit of a call that did not run, for use by the next call."""
         account = self._accounts.get(customer.name)
         if account is None:
             return
@@ -262,7 +265,7 @@
         account.credit_until = max(account.credit_until, now + CREDIT_LIFETIME_S)
 
     def withdraw(self, customer: Customer, call_id: int) -> bool:
-        """Take in that a call has ended; returns whether it was still waiting for credit."""
+        """Remove an ended call; returns whether it was still waiting for credit."""
         account = self._accounts.get(customer.name)
         if account is None or call_id not in account.waiting:
             return False
@@ -272,7 +275,7 @@
     # Steps
 
     def _ask(self, now: float, account: _Account) -> list[Step]:
-        """Ask the keeper for the calls that wait, or go by the own share if none is left to ask."""
+        """Request credit for the waiting calls, or use the own share if no server is left."""
         if not account.waiting:
             return []
         server = self._next_server(now, account)
@@ -284,7 +287,7 @@
         self.asks += 1
         account.pending = _PendingAsk(ask_id, server, now)
         self._pending[ask_id] = account
-        # Where credit is short, what one host holds unused is what another one lacks.
+        # Credit prefetched by one host is not available to the others while it is short.
         prefetch = 0 if account.over_burst else int(account.demand.counted(now) * PREFETCH_S)
         want = min(len(account.waiting) + prefetch, int(account.customer.max_credit) + 1)
         if server != account.server:
@@ -319,14 +322,14 @@
         return steps
 
     def _decide_by_own_share(self, now: float, account: _Account) -> list[Step]:
-        """Let calls run by this host's own share, which no keeper has of it now."""
+        """Decide on the waiting calls by this host's share of the quota, now lent to no server."""
         customer = account.customer
         gained = customer.rate_per_s / self._host_count * (now - account.own_credit_at)
         account.own_credit = min(
             max(1.0, customer.burst / self._host_count), account.own_credit + gained
         )
         account.own_credit_at = now
-        # No keeper has had it until now: whichever is asked next is lent what comes.
+        # The next server asked is lent the share only from that request on.
         account.server = ""
         steps: list[Step] = []
         while account.waiting:
--- a/foldhoist/customers/directory.py
+++ b/foldhoist/customers/directory.py
@@ -1,4 +1,4 @@
-"""The customers of one configuration, by name and by API key."""
+"""Customers of one configuration, found by name or by API key."""
 
 from __future__ import annotations
 
@@ -14,13 +14,16 @@
     from foldhoist.schema.fleet import Fleet
 
 NO_KEY = "no-api-key"
-"""Reason of a refusal where a request on a route that is not open names no key."""
+"""Reason of a refusal: the request has no key, and its route is not open."""
 UNKNOWN_KEY = "unknown-api-key"
-"""Reason of a refusal where no customer holds the key."""
+"""Reason of a refusal: the key belongs to no customer."""
 
 
 class Customer(NamedTuple):
-    """Who pays for calls; a `rate_per_s` of 0 is no limit, `burst` calls may run on top of it."""
+    """A customer and its quota.
+
+    A `rate_per_s` of 0 means no limit; `burst` calls may run beyond the rate.
+    """
 
     name: str
     rank: int = NO_RANK
@@ -29,23 +32,23 @@
 
     @property
     def limited(self) -> bool:
-        """Return whether there is a quota."""
+        """Return whether the customer has a quota."""
         return self.rate_per_s > 0
 
     @property
     def max_credit(self) -> float:
-        """Return the calls that may run at once after a while without any."""
+        """Return the most credit that may accumulate, in calls; at least 1."""
         return max(1.0, self.burst)
 
 
 class Identified(NamedTuple):
-    """Whose call it is; None where the route is open and no customer is known."""
+    """The customer of a call; None if the call needs no customer."""
 
     customer: Customer | None
 
 
 class Unidentified(NamedTuple):
-    """Nobody's call: it is refused, for this reason."""
+    """A call that is refused since no customer was identified, with the reason."""
 
     reason: str
 
@@ -54,7 +57,7 @@
 
 
 class SharedKey(NamedTuple):
-    """Two customers that hold the same key: nobody can tell whose calls those are."""
+    """Two customers configured with the same key, so that their calls are ambiguous."""
 
     first: str
     second: str
@@ -62,7 +65,10 @@
 
 
 def shared_key(sections: Mapping[str, Section]) -> SharedKey | None:
-    """Return two customers with a key in common, or None."""
+    """Return the first pair of customers that share a key, or None.
+
+    Raises ValueError if a key is not a digest.
+    """
     holders: dict[str, str] = {}
     for name, section in sections.items():
         for digest in parse_digests(section["keys"]):
@@ -73,13 +79,13 @@
 
 
 def check_keys(sections: Mapping[str, Section]) -> None:
-    """Raise ValueError if two customers hold the same key."""
+    """Raise ValueError if two customers share a key."""
     if shared := shared_key(sections):
         raise ValueError(f"customers {shared.first} and {shared.second} hold the same key")
 
 
 class Directory:
-    """Customers by name and by the digests of their keys; empty where there are none."""
+    """Finds customers by name or by the digest of a key."""
 
     def __init__(self, fleet: Fleet | None = None) -> None:
         self._by_name: dict[str, Customer] = {}
@@ -94,24 +100,27 @@
 
     @property
     def has_customers(self) -> bool:
-        """Return whether there are customers: then calls need a key."""
+        """Return whether any customer is configured; if so, routes that are not open need a key."""
         return bool(self._by_name)
 
     @property
     def has_limited(self) -> bool:
-        """Return whether a customer has a quota."""
+        """Return whether any customer has a quota."""
         return any(customer.limited for customer in self._by_name.values())
 
     def named(self, name: str) -> Customer | None:
-        """Return a customer, or None if the configuration holds none of this name."""
+        """Return the customer with this name, or None."""
         return self._by_name.get(name)
 
     def customers(self) -> Iterable[Customer]:
-        """Return every customer."""
+        """Return all customers."""
         return self._by_name.values()
 
     def identify(self, digest: str, *, is_open: bool) -> Identity:
-        """Return whose call it is by the digest of its key, empty if it has none."""
+        """Identify the customer of a call by the digest of its key, empty without a key.
+
+        An open route also accepts calls without a known key.
+        """
         if not self._by_name:
             return Identified(None)
         customer = self._by_digest.get(digest)
--- a/foldhoist/customers/keys.py
+++ b/foldhoist/customers/keys.py
@@ -1,4 +1,4 @@
-"""API keys are known by their digests: no secret is kept, compared or written down."""
+"""Digests of API keys, so that no secret is stored, compared or logged."""
 
 from __future__ import annotations
 
@@ -10,15 +10,18 @@
 
 
 def digest_of(secret: str) -> str:
-    """Return the digest by which an API key is known.
+    """Return the SHA-256 digest of an API key, hexadecimal.
 
-    What is looked up later is the digest, so the time of that tells nothing of a secret.
+    Customers are looked up by digest, so the time of a lookup reveals nothing about the key.
     """
     return sha256(secret.encode("utf-8", "surrogateescape")).hexdigest()
 
 
 def digest_in(credentials: bytes, scheme: bytes) -> str:
-    """Return the digest of the API key in a header as `scheme KEY`, empty if it holds none."""
+    """Return the digest of the key in a header value `SCHEME KEY`, empty if there is none.
+
+    `scheme` is lower case; the header's may be in any case.
+    """
     found, _, key = credentials.strip().partition(b" ")
     if found.lower() != scheme or not key.strip():
         return ""
@@ -26,7 +29,7 @@
 
 
 def parse_digests(text: str) -> tuple[str, ...]:
-    """Return the digests of a `keys` option; raises ValueError if one is none."""
+    """Return the digests of a `keys` option; raises ValueError if one is malformed."""
     parts = tuple(part.strip() for part in text.split(",") if part.strip())
     for part in parts:
         if len(part) != DIGEST_CHARS or not _DIGITS.issuperset(part):
--- a/foldhoist/customers/quota_server.py
+++ b/foldhoist/customers/quota_server.py
@@ -1,8 +1,8 @@
-"""The keeper's side of quotas: counts a customer's calls at all hosts and lends credit for them.
+"""The quota server: counts a customer's calls at all hosts and grants credit for them.
 
-Every host owns an equal share of each quota and lends it to the one keeper that it asks. A keeper
-therefore gains credit at the part of the rate whose owners lend to it: of two that are asked at
-once, as when hosts do not reach each other, both together gain no more than the rate.
+Each host has an equal share of every quota and lends it to the one quota server that it asks. A
+server gains credit at the rate of the shares lent to it. Two servers that are asked at the same
+time, as in a network partition, together gain no more than the customer's rate.
 """
 
 from __future__ import annotations
@@ -20,45 +20,42 @@
     from foldhoist.schema.messages import Credit, CreditAsk
 
 INITIAL_SLACK_SHARE = 0.15
-"""Share of the slack that a quota begins with here: what was lent before is not known.
+"""Share of the slack that a bucket starts with, since earlier grants by others are unknown.
 
-Of a slack that several keepers may begin with, one after the other, within one window.
+Several servers may start a bucket of the same quota within one window.
 """
 STALL_S = 0.3
-"""A keeper that did nothing for this long has stood still: it gains nothing for that time, seconds.
+"""A longer gap in activity is a stall, seconds: the server gains no credit for that time.
 
-Others have lent in its place.
+Other servers may have granted credit meanwhile.
 """
 MAX_LENT_S = 2.0
-"""A host lends a keeper that is not the first its share for the time since it last asked.
-
-For this long at most, seconds.
-"""
+"""Longest time for which one request lends a host's share to a non-primary server, seconds."""
 MISSED_ASKS = 5.0
-"""A host that misses so many questions in a row may be cut off, and ask another keeper.
+"""A host is silent if more than this many expected requests are missing.
 
-By chance a host with a steady stream of calls is silent for as long once in 150 times.
+It may be cut off and may ask another quota server.
 """
 MIN_SILENCE_S = 0.3
-"""It has been silent for this long then, at least, seconds."""
+"""A host without requests for up to this long is not silent, seconds."""
 ASKS_DECAY_S = 1.0
-"""Questions count by 1/e after this long, seconds."""
+"""Time constant of the decaying count of requests, seconds."""
 MAX_SILENCE_S = 3.0
-"""After this long it just has no calls, or its connection has fallen, seconds."""
+"""After a longer silence a host is taken to have no calls, or is disconnected, seconds."""
 OVER_BURST_SHARE = 0.5
-"""With less than this share of its burst left a customer's calls go behind others."""
+"""A customer with less than this share of its burst left is over its burst."""
 OVER_BURST_MIN_BURST = 10.0
-"""Burst from which on that is judged: with a smaller one a single call uses much of it up."""
+"""Smallest burst for which that is reported; one call uses much of a smaller one."""
 MIN_RETRY_AFTER_S = 0.01
-"""Shortest time after which a caller is told to come back, seconds."""
+"""Shortest retry-after of a denial, seconds."""
 MAX_RETRY_AFTER_S = 5.0
-"""Longest time after which a caller is told to come back, seconds."""
+"""Longest retry-after of a denial, seconds."""
 DENIALS_DECAY_S = 1.0
-"""Denials count by 1/e after this long, seconds: who comes back finds the others there."""
+"""Time constant of the decaying count of denials, which are expected to be retried, seconds."""
 
 
 class Hosts(NamedTuple):
-    """The hosts that a keeper knows, those connected to it, and those that it reaches."""
+    """The hosts known to a server, those connected to it, and those it is connected to."""
 
     known: Collection[str]
     connected: Collection[str]
@@ -66,7 +63,7 @@
 
 
 class _AskingHost:
-    """What a host asks here; times are seconds of the keeper's own time."""
+    """Rate and time of a host's requests; times are in the server's active time, seconds."""
 
     __slots__ = ("asks", "asks_per_s", "at")
 
@@ -76,7 +73,7 @@
         self.asks = FadingShare(at, ASKS_DECAY_S)
 
     def count_ask(self, at: float) -> float:
-        """Count a question; returns how long after the one before it comes."""
+        """Count a request; returns the time since the one before it, seconds."""
         gap_s = at - self.at
         self.at = at
         self.asks_per_s = self.asks.counted(at) / ASKS_DECAY_S
@@ -84,7 +81,7 @@
         return gap_s
 
     def is_silent(self, at: float) -> bool:
-        """Return whether questions that were to be expected have not come."""
+        """Return whether expected requests are missing."""
         silence_s = at - self.at
         if not MIN_SILENCE_S < silence_s <= MAX_SILENCE_S:
             return False
@@ -92,7 +89,7 @@
 
 
 class _Bucket:
-    """Credit of one customer that is left to lend; `at` is seconds of the keeper's own time."""
+    """One customer's credit; `at` is the last refill in the server's active time, seconds."""
 
     __slots__ = ("asking_hosts", "at", "denials", "level", "primary", "rate_share")
 
@@ -106,7 +103,7 @@
 
 
 class QuotaServer:
-    """Quotas that this host keeps; `now` is in seconds, monotonic."""
+    """Grants credit of the quotas that this host serves; `now` is in monotonic seconds."""
 
     def __init__(self, name: str, slack: float = 0.0) -> None:
         self.name = name
@@ -124,7 +121,7 @@
         self._last_active_at: float | None = None
 
     def adopt(self, now: float, directory: Directory) -> None:
-        """Take over a configuration; what has been lent stays lent."""
+        """Apply a configuration; levels of customers that still have a quota are kept."""
         self._refill_all(now)
         self._directory = directory
         self._update_roles()
@@ -134,7 +131,7 @@
                 del self._buckets[name]
 
     def update_hosts(self, now: float, hosts: Hosts) -> None:
-        """Take in which hosts there are; to be told often, also if nothing has changed."""
+        """Update the hosts; to be called often, also without changes, since it refills buckets."""
         self._refill_all(now)
         if hosts.known != self._hosts.known:
             self._candidates = quota_server_candidates({*hosts.known, self.name})
@@ -151,7 +148,7 @@
             bucket.rate_share = self._rate_share(at, bucket)
 
     def on_ask(self, now: float, host: str, ask: CreditAsk) -> Credit:
-        """Lend what there is for the calls of a customer at a host."""
+        """Grant available credit for the calls of a customer at a host."""
         if ask["elsewhere"]:
             self._refill_all(now)
             self._asking_elsewhere.add(host)
@@ -169,7 +166,7 @@
         return self._grant(at, customer, bucket, ask)
 
     def levels(self) -> dict[str, float]:
-        """Return the credit that is left of each customer that is asked for here."""
+        """Return the remaining credit of each customer with a bucket here, in calls."""
         return {name: bucket.level for name, bucket in self._buckets.items()}
 
     # Steps
@@ -191,7 +188,7 @@
         return _credit(ask, granted=granted, retry_after_s=retry_after_s, over_burst=over_burst)
 
     def _retry_after_s(self, at: float, customer: Customer, bucket: _Bucket) -> float:
-        """Return when there is credit for one more beside those denied lately, seconds."""
+        """Return the time until credit covers the calls denied lately, seconds, within bounds."""
         rate_share = bucket.rate_share or len(bucket.asking_hosts) / len(self._hosts.known)
         gained = customer.rate_per_s * rate_share
         waiting = max(1.0, bucket.denials.counted(at))
@@ -207,7 +204,7 @@
         return bucket
 
     def _refill_all(self, now: float) -> None:
-        """Give every quota what it has gained as things stood until now."""
+        """Refill all buckets up to now, and drop non-primary ones without asking hosts."""
         at = self._active_time(now)
         for name, bucket in list(self._buckets.items()):
             customer = self._directory.named(name)
@@ -223,14 +220,17 @@
         bucket.level = min(customer.max_credit, bucket.level + gained)
         primary = customer.name in self._primary_for
         if primary and not bucket.primary:
-            # Another has lent until now, how much is not known.
+            # Another server has granted credit until now; how much is unknown.
             bucket.level = min(bucket.level, self.slack * INITIAL_SLACK_SHARE)
         bucket.primary = primary
 
     def _add_lent_share(
         self, at: float, host: str, customer: Customer, bucket: _Bucket, lends_s: float
     ) -> None:
-        """Take what a host that asks here lends, if hosts do not do that by being connected."""
+        """Count a request, and add the share that it lends to a server that is not primary.
+
+        A primary server is lent shares through connections instead.
+        """
         asking = bucket.asking_hosts.get(host)
         if asking is None:
             bucket.asking_hosts[host] = asking = _AskingHost(at)
@@ -242,7 +242,10 @@
         bucket.level = min(customer.max_credit, bucket.level + lent)
 
     def _rate_share(self, at: float, bucket: _Bucket) -> float:
-        """Return the part of a quota whose owners lend it to this keeper all the time."""
+        """Return the share of a quota that connected hosts lend to this server, 0 to 1.
+
+        Hosts without requests for `MAX_SILENCE_S` are removed from the asking hosts.
+        """
         for host, asking in list(bucket.asking_hosts.items()):
             if at - asking.at > MAX_SILENCE_S:
                 del bucket.asking_hosts[host]
@@ -253,7 +256,7 @@
         return min(1.0, len(lenders) / (len(self._hosts.known) or 1))
 
     def _update_roles(self) -> None:
-        """Work out whose quotas hosts bring here first, if something has changed."""
+        """Find the customers whose primary server this is, if the inputs have changed."""
         reached = frozenset(self._candidates).intersection(self._hosts.reached)
         roles_input = (self._directory, self._candidates, reached)
         if roles_input == self._roles_input:
@@ -263,7 +266,7 @@
         self._primary_for = frozenset(name for name in limited if self._is_primary(name))
 
     def _is_primary(self, customer: str) -> bool:
-        """Return whether hosts turn to this keeper first, as far as it sees."""
+        """Return whether this is the first reachable server of a customer, as seen from here."""
         for name in ranked_servers(customer, self._candidates):
             if name == self.name:
                 return True
@@ -272,7 +275,7 @@
         return False
 
     def _active_time(self, now: float) -> float:
-        """Return the seconds for which this keeper has been awake."""
+        """Return `now` less the time spent in stalls, seconds."""
         if self._last_active_at is not None and now - self._last_active_at > STALL_S:
             self._stalled_s += now - self._last_active_at
         self._last_active_at = now
--- a/tests/unit/customers/__init__.py
+++ b/tests/unit/customers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of customers."""
+"""Tests of customer identification and quotas."""
--- a/tests/unit/customers/world.py
+++ b/tests/unit/customers/simulation.py
@@ -1,4 +1,4 @@
-"""Hosts that keep and use one customer's quota, in simulated time, with hosts and links failing."""
+"""Simulation of hosts that serve and use one customer's quota, with failing hosts and links."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     from foldhoist.schema.fleet import Fleet
 
 STEP_S = 0.01
-"""Time between two looks at everything, seconds."""
+"""Simulated time per step, seconds."""
 LATENCY_S = 0.01
-"""Time that a message takes, seconds."""
-NOTICED_S = 1.5
-"""A connection that brings nothing through is taken for lost after this long, seconds."""
-LOOK_S = 0.1
-"""Time between two looks of a keeper at the hosts, seconds."""
+"""Latency of each message, seconds."""
+LINK_TIMEOUT_S = 1.5
+"""A connection over which nothing arrives is dropped after this long, seconds."""
+HOSTS_INTERVAL_S = 0.1
+"""Time between two updates of a quota server's hosts, seconds."""
 WINDOW_S = 5.0
 OVERAGE = 0.1
 SLACK = 20.0
@@ -35,8 +35,8 @@
     return found  # type: ignore[no-any-return]
 
 
-class Sent(NamedTuple):
-    """A message on its way: when it is there, from whom, to whom, its kind and body."""
+class Message(NamedTuple):
+    """A message in transit; `at` is when it arrives."""
 
     at: float
     source: str
@@ -46,20 +46,20 @@
 
 
 class Host:
-    """One life of a host's daemon."""
+    """One incarnation of a host's daemon."""
 
     def __init__(self, name: str, seed: int, now: float) -> None:
         self.name = name
         self.client = CreditClient(random.Random(f"{name} {seed}"))
         self.server = QuotaServer(name, SLACK)
-        self.look_at = now
+        self.next_update_at = now
         self.frozen_until = 0.0
         self.down_until = 0.0
-        self.inbox: list[Sent] = []
+        self.inbox: list[Message] = []
 
 
-class World:
-    """All hosts; `cut` are pairs that do not reach each other."""
+class Simulation:
+    """All hosts; `cut` holds the pairs that cannot reach each other."""
 
     def __init__(self, hosts: int, rate: float, burst: float, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -67,13 +67,13 @@
         self.names = [f"h{each}" for each in range(hosts)]
         self.directory = Directory(fleet_of(rate, burst))
         self.hosts = {name: Host(name, seed, 0.0) for name in self.names}
-        self.linked: dict[tuple[str, str], float] = {}
+        self.last_received: dict[tuple[str, str], float] = {}
         self.cut: set[frozenset[str]] = set()
-        self.sent: list[Sent] = []
-        self.runs: list[float] = []
+        self.in_transit: list[Message] = []
+        self.granted_at: list[float] = []
         self.denied = 0
         self.asked = 0
-        self.lives = 0
+        self.incarnations = 0
         for host in self.hosts.values():
             self.start(host)
 
@@ -83,43 +83,45 @@
         host.client.set_hosts(self.names)
         host.server.adopt(self.now, self.directory)
 
-    def kill(self, name: str, down_s: float) -> None:
-        self.lives += 1
-        host = Host(name, 1000 + self.lives, self.now)
+    def restart(self, name: str, down_s: float) -> None:
+        self.incarnations += 1
+        host = Host(name, 1000 + self.incarnations, self.now)
         host.down_until = self.now + down_s
         self.hosts[name] = host
         self.start(host)
-        for pair in [pair for pair in self.linked if name in pair]:
-            self.lose(pair)
-        self.sent = [each for each in self.sent if name not in (each.source, each.target)]
+        for pair in [pair for pair in self.last_received if name in pair]:
+            self.drop_link(pair)
+        self.in_transit = [
+            each for each in self.in_transit if name not in (each.source, each.target)
+        ]
 
     def freeze(self, name: str, for_s: float) -> None:
         self.hosts[name].frozen_until = self.now + for_s
 
-    def split(self, group: set[str]) -> None:
+    def partition(self, group: set[str]) -> None:
         others = set(self.names) - group
         self.cut = {frozenset((one, other)) for one in group for other in others}
 
     def heal(self) -> None:
         self.cut = set()
 
-    def lower(self, rate: float, burst: float) -> None:
+    def set_quota(self, rate: float, burst: float) -> None:
         self.directory = Directory(fleet_of(rate, burst))
         for host in self.hosts.values():
             host.server.adopt(self.now, self.directory)
-            self.carry_out(host, host.client.adopt(self.now, self.directory))
+            self.apply_steps(host, host.client.adopt(self.now, self.directory))
 
     # Time
 
-    def play(self, until: float, calls_per_s: float) -> None:
-        """Let callers send at all hosts, by lot."""
+    def run_until(self, until: float, calls_per_s: float) -> None:
+        """Advance the time, with calls at random hosts."""
         while self.now < until:
             self.now += STEP_S
-            self.keep_links()
+            self.update_links()
             self.deliver()
             for host in self.hosts.values():
-                if self.runs_now(host):
-                    self.turn(host)
+                if self.is_running(host):
+                    self.step(host)
             expected = calls_per_s * STEP_S
             calls = int(expected) + (self.rng.random() < expected % 1)
             for _ in range(calls):
@@ -127,86 +129,95 @@
 
     def call(self, name: str) -> None:
         host = self.hosts[name]
-        if not self.runs_now(host):
+        if not self.is_running(host):
             return
         self.asked += 1
         customer = self.directory.named(NAME)
         assert isinstance(customer, Customer)
-        self.carry_out(host, host.client.admit(self.now, customer, self.asked))
+        self.apply_steps(host, host.client.admit(self.now, customer, self.asked))
 
-    def runs_now(self, host: Host) -> bool:
+    def is_running(self, host: Host) -> bool:
         return self.now >= host.down_until and self.now >= host.frozen_until
 
-    def turn(self, host: Host) -> None:
+    def step(self, host: Host) -> None:
         inbox, host.inbox = host.inbox, []
         for each in inbox:
             self.receive(host, each)
-        self.carry_out(host, host.client.tick(self.now))
-        if self.now >= host.look_at:
-            host.look_at = self.now + LOOK_S
-            connected = {one for one, other in self.linked if other == host.name}
-            reached = {other for one, other in self.linked if one == host.name}
+        self.apply_steps(host, host.client.tick(self.now))
+        if self.now >= host.next_update_at:
+            host.next_update_at = self.now + HOSTS_INTERVAL_S
+            connected = {one for one, other in self.last_received if other == host.name}
+            reached = {other for one, other in self.last_received if one == host.name}
             host.server.update_hosts(self.now, Hosts(set(self.names), connected, reached))
 
-    def keep_links(self) -> None:
+    def update_links(self) -> None:
         for one in self.names:
             for other in self.names:
                 pair = (one, other)
                 alive = all(self.now >= self.hosts[each].down_until for each in pair)
-                through = alive and frozenset(pair) not in self.cut
-                if through and pair not in self.linked and self.runs_now(self.hosts[one]):
-                    self.linked[pair] = self.now
+                reachable = alive and frozenset(pair) not in self.cut
+                if (
+                    reachable
+                    and pair not in self.last_received
+                    and self.is_running(self.hosts[one])
+                ):
+                    self.last_received[pair] = self.now
                     self.hosts[one].client.link_changed(self.now, other, up=True)
-                elif through and pair in self.linked:
-                    self.linked[pair] = self.now
-                elif pair in self.linked and self.now - self.linked[pair] > NOTICED_S:
-                    self.lose(pair)
-
-    def lose(self, pair: tuple[str, str]) -> None:
-        del self.linked[pair]
+                elif reachable and pair in self.last_received:
+                    self.last_received[pair] = self.now
+                elif (
+                    pair in self.last_received
+                    and self.now - self.last_received[pair] > LINK_TIMEOUT_S
+                ):
+                    self.drop_link(pair)
+
+    def drop_link(self, pair: tuple[str, str]) -> None:
+        del self.last_received[pair]
         one, other = pair
-        self.carry_out(
+        self.apply_steps(
             self.hosts[one], self.hosts[one].client.link_changed(self.now, other, up=False)
         )
 
     def deliver(self) -> None:
-        due, self.sent = split_by(self.sent, self.now)
+        due, self.in_transit = split_by(self.in_transit, self.now)
         for each in due:
             if frozenset((each.source, each.target)) not in self.cut:
                 self.hosts[each.target].inbox.append(each)
 
-    def receive(self, host: Host, each: Sent) -> None:
+    def receive(self, host: Host, each: Message) -> None:
         if each.kind == "Credit":
-            self.carry_out(host, host.client.on_credit(self.now, each.body))
+            self.apply_steps(host, host.client.on_credit(self.now, each.body))
             return
         credit = host.server.on_ask(self.now, each.source, each.body)
         if not each.body["elsewhere"]:
             self.send(host.name, each.source, "Credit", credit)
 
     def send(self, source: str, target: str, kind: str, body: Any) -> None:
-        self.sent.append(Sent(self.now + LATENCY_S, source, target, kind, body))
+        self.in_transit.append(Message(self.now + LATENCY_S, source, target, kind, body))
 
-    def carry_out(self, host: Host, steps: list[Step]) -> None:
+    def apply_steps(self, host: Host, steps: list[Step]) -> None:
         for step in steps:
             match step:
                 case Ask(server, message):
                     self.send(host.name, server, "CreditAsk", message)
                 case Granted():
-                    self.runs.append(self.now)
+                    self.granted_at.append(self.now)
                 case Denied():
                     self.denied += 1
 
 
-def split_by(sent: list[Sent], now: float) -> tuple[list[Sent], list[Sent]]:
-    """Return the messages that are there, and those still on their way."""
-    return [each for each in sent if each.at <= now], [each for each in sent if each.at > now]
+def split_by(in_transit: list[Message], now: float) -> tuple[list[Message], list[Message]]:
+    """Return the messages that have arrived, and those in transit."""
+    return [each for each in in_transit if each.at <= now], [
+        each for each in in_transit if each.at > now
+    ]
 
 
-def most_in_a_window(runs: list[float]) -> int:
-    """Return the runs of the fullest window, wherever it begins."""
+def max_in_window(granted_at: list[float]) -> int:
+    """Return the most grants in any window."""
     most = 0
     window: deque[float] = deque()
-    for at in runs:
+    for at in granted_at:
         window.append(at)
         while window[0] <= at - WINDOW_S:
             window.popleft()
@@ -215,5 +226,5 @@
 
 
 def allowed(rate: float, burst: float) -> float:
-    """Return the most that may run in a window."""
+    """Return the most calls that a quota allows in a window."""
     return (rate * WINDOW_S + burst) * (1 + OVERAGE) + SLACK
--- a/tests/unit/customers/test_directory.py
+++ b/tests/unit/customers/test_directory.py
@@ -1,4 +1,4 @@
-"""Whose call it is, by the digest of its key."""
+"""Tests of the identification of customers by the digests of their keys."""
 
 from __future__ import annotations
 
@@ -32,31 +32,31 @@
     return found
 
 
-def two() -> Directory:
-    """Return a limited customer with two keys."""
+def one_customer() -> Directory:
+    """Return a directory of one customer with a quota and two keys."""
     keys = f"{FIRST}, {SECOND}"
     return Directory(
         fleet(f"\n[customer huka]\nkeys = {keys}\nrate_per_s = 5\nburst = 2\nrank = 0\n")
     )
 
 
-def test_a_key_names_its_customer_and_no_other_does() -> None:
+def test_only_its_own_keys_identify_a_customer() -> None:
     huka = Customer("huka", 0, 5.0, 2.0)
     for digest in (FIRST, SECOND):
-        assert two().identify(digest, is_open=False) == Identified(huka)
-    assert two().identify(digest_of("other"), is_open=False) == Unidentified(UNKNOWN_KEY)
-    assert two().identify("", is_open=False) == Unidentified(NO_KEY)
+        assert one_customer().identify(digest, is_open=False) == Identified(huka)
+    assert one_customer().identify(digest_of("other"), is_open=False) == Unidentified(UNKNOWN_KEY)
+    assert one_customer().identify("", is_open=False) == Unidentified(NO_KEY)
 
 
-def test_an_open_route_takes_calls_of_nobody() -> None:
-    assert two().identify("", is_open=True) == Identified(None)
-    assert two().identify(digest_of("other"), is_open=True) == Identified(None)
-    found = two().identify(FIRST, is_open=True)
+def test_an_open_route_accepts_calls_without_a_known_key() -> None:
+    assert one_customer().identify("", is_open=True) == Identified(None)
+    assert one_customer().identify(digest_of("other"), is_open=True) == Identified(None)
+    found = one_customer().identify(FIRST, is_open=True)
     assert isinstance(found, Identified)
     assert found.customer is not None
 
 
-def test_where_there_are_no_customers_no_key_is_needed() -> None:
+def test_no_key_is_needed_without_customers() -> None:
     directory = Directory(fleet(""))
     assert not directory.has_customers
     assert directory.identify("", is_open=False) == Identified(None)
@@ -75,16 +75,16 @@
         (b"", ""),
     ],
 )
-def test_a_key_is_read_by_its_scheme(header: bytes, key: str) -> None:
+def test_a_key_is_parsed_only_after_its_scheme(header: bytes, key: str) -> None:
     assert digest_in(header, b"token") == (digest_of(key) if key else "")
 
 
 @given(st.binary(max_size=40))
-def test_whatever_a_header_holds_is_a_digest_or_none(header: bytes) -> None:
+def test_any_header_gives_a_digest_or_nothing(header: bytes) -> None:
     assert len(digest_in(header, b"token")) in (0, DIGEST_CHARS)
 
 
-def test_what_is_no_digest_is_said() -> None:
+def test_malformed_digests_are_rejected() -> None:
     for text in ("abc", FIRST[:-1], FIRST.upper(), f"{FIRST}, x"):
         with pytest.raises(ValueError, match="no digest"):
             parse_digests(text)
--- a/tests/unit/customers/test_quota_histories.py
+++ b/tests/unit/customers/test_quota_histories.py
@@ -1,7 +1,7 @@
-"""A quota holds over all hosts, whatever fails, and is used where nothing does.
+"""Tests that a quota holds across all hosts under failures, and is fully used without any.
 
-Bounds are the users': (rate x window + burst) x 1.1 + 20 in any 5 s, and 98% of what a quota allows
-served while it binds.
+At most (rate x window + burst) x 1.1 + 20 calls may run in any 5 s, and at least 98% of the rate is
+served under overload.
 """
 
 from __future__ import annotations
@@ -12,114 +12,116 @@
 import pytest
 
 from foldhoist.customers import candidates, credit, quota_server
-from tests.unit.customers.world import NAME, World, allowed, most_in_a_window
+from tests.unit.customers.simulation import NAME, Simulation, allowed, max_in_window
 
 HOSTS = 12
 RATE, BURST = 40.0, 40.0
 HOT_PER_S = 200.0
 
 
-def world(seed: int, hosts: int = HOSTS, rate: float = RATE, burst: float = BURST) -> World:
-    """Return hosts that have been connected for a while, without calls."""
-    made = World(hosts, rate, burst, seed)
-    made.play(3.0, 0.0)
-    return made
+def simulation(
+    seed: int, hosts: int = HOSTS, rate: float = RATE, burst: float = BURST
+) -> Simulation:
+    """Return a simulation whose hosts are connected, before any calls."""
+    sim = Simulation(hosts, rate, burst, seed)
+    sim.run_until(3.0, 0.0)
+    return sim
 
 
-def troubled(seed: int) -> World:
-    """Play 20 s of five times what is allowed, with failures drawn by the seed."""
-    made = world(seed)
+def simulation_with_failures(seed: int) -> Simulation:
+    """Run 20 s at five times the rate, with failures drawn from the seed."""
+    sim = simulation(seed)
     rng = random.Random(seed)
-    while made.now < 23.0:
-        made.play(made.now + rng.uniform(0.2, 1.5), HOT_PER_S)
-        order = candidates.ranked_servers(NAME, made.hosts["h0"].client._candidates)
-        name = order[0] if rng.random() < 0.5 else rng.choice(made.names)
+    while sim.now < 23.0:
+        sim.run_until(sim.now + rng.uniform(0.2, 1.5), HOT_PER_S)
+        order = candidates.ranked_servers(NAME, sim.hosts["h0"].client._candidates)
+        name = order[0] if rng.random() < 0.5 else rng.choice(sim.names)
         match rng.randrange(6):
             case 0:
-                made.kill(name, rng.uniform(0.3, 2.0))
+                sim.restart(name, rng.uniform(0.3, 2.0))
             case 1:
-                made.freeze(name, rng.uniform(0.2, 3.0))
+                sim.freeze(name, rng.uniform(0.2, 3.0))
             case 2:
-                made.split(set(rng.sample(made.names, rng.randint(1, HOSTS // 2))))
+                sim.partition(set(rng.sample(sim.names, rng.randint(1, HOSTS // 2))))
             case 3:
-                made.heal()
+                sim.heal()
             case 4 if rng.random() < 0.3:
-                for each in made.names:
-                    made.kill(each, rng.uniform(0.5, 1.0))
-    return made
+                for each in sim.names:
+                    sim.restart(each, rng.uniform(0.5, 1.0))
+    return sim
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_no_window_holds_more_than_the_quota_allows(seed: int) -> None:
-    made = troubled(seed)
-    assert 0 < most_in_a_window(made.runs) <= allowed(RATE, BURST)
+def test_no_window_exceeds_the_quota_under_failures(seed: int) -> None:
+    sim = simulation_with_failures(seed)
+    assert 0 < max_in_window(sim.granted_at) <= allowed(RATE, BURST)
 
 
 @pytest.mark.parametrize(("rate", "burst"), [(40.0, 40.0), (5.0, 5.0), (100.0, 100.0)])
 @pytest.mark.parametrize("times", [1.5, 5.0])
-def test_while_it_binds_what_it_allows_is_served(rate: float, burst: float, times: float) -> None:
-    made = world(1, rate=rate, burst=burst)
-    made.play(5.0, rate * times)
-    before = len(made.runs)
-    made.play(15.0, rate * times)
-    assert len(made.runs) - before >= 0.98 * 10.0 * rate
+def test_the_allowed_rate_is_served_under_overload(rate: float, burst: float, times: float) -> None:
+    sim = simulation(1, rate=rate, burst=burst)
+    sim.run_until(5.0, rate * times)
+    before = len(sim.granted_at)
+    sim.run_until(15.0, rate * times)
+    assert len(sim.granted_at) - before >= 0.98 * 10.0 * rate
 
 
 @pytest.mark.parametrize(("rate", "burst"), [(5.0, 5.0), (95.0, 95.0)])
-def test_below_it_nothing_is_refused(rate: float, burst: float) -> None:
-    made = world(2, rate=rate, burst=burst)
-    made.play(13.0, rate / 1.6)
-    assert made.denied <= 0.002 * made.asked
+def test_calls_below_the_rate_are_granted(rate: float, burst: float) -> None:
+    sim = simulation(2, rate=rate, burst=burst)
+    sim.run_until(13.0, rate / 1.6)
+    assert sim.denied <= 0.002 * sim.asked
 
 
-def test_a_customer_whose_callers_all_enter_at_one_host_has_its_whole_quota() -> None:
-    made = world(3)
-    before = made.now
+def test_a_single_host_can_use_the_whole_quota() -> None:
+    sim = simulation(3)
+    before = sim.now
     for _ in range(1000):
-        made.play(made.now + 0.01, 0.0)
-        made.call("h0")
-    assert len(made.runs) >= 0.98 * RATE * (made.now - before)
-    assert most_in_a_window(made.runs) <= allowed(RATE, BURST)
-
-
-def test_a_rate_that_is_lowered_binds_within_a_window() -> None:
-    made = world(4)
-    made.play(8.0, HOT_PER_S)
-    made.lower(4.0, 4.0)
-    made.play(13.0, HOT_PER_S)
-    before = len(made.runs)
-    made.play(23.0, HOT_PER_S)
-    assert most_in_a_window(made.runs[before:]) <= allowed(4.0, 4.0)
-    assert len(made.runs) - before >= 0.98 * 10.0 * 4.0
-
-
-def test_callers_of_a_keeper_that_is_gone_are_served_again_soon() -> None:
-    made = world(5)
-    made.play(6.0, RATE / 1.6)
-    order = candidates.ranked_servers(NAME, made.hosts["h0"].client._candidates)
-    made.kill(order[0], 30.0)
-    made.play(7.5, RATE / 1.6)
-    denied, asked = made.denied, made.asked
-    made.play(12.0, RATE / 1.6)
-    assert made.denied - denied <= 0.02 * (made.asked - asked)
-
-
-def lends_what_others_had(account: Any, number: int, want: int, lends_ms: int) -> Any:
-    """Ask as a host that hands its share of a time over a second time."""
-    found = question(account, number, want, lends_ms)
+        sim.run_until(sim.now + 0.01, 0.0)
+        sim.call("h0")
+    assert len(sim.granted_at) >= 0.98 * RATE * (sim.now - before)
+    assert max_in_window(sim.granted_at) <= allowed(RATE, BURST)
+
+
+def test_a_lowered_rate_applies_within_one_window() -> None:
+    sim = simulation(4)
+    sim.run_until(8.0, HOT_PER_S)
+    sim.set_quota(4.0, 4.0)
+    sim.run_until(13.0, HOT_PER_S)
+    before = len(sim.granted_at)
+    sim.run_until(23.0, HOT_PER_S)
+    assert max_in_window(sim.granted_at[before:]) <= allowed(4.0, 4.0)
+    assert len(sim.granted_at) - before >= 0.98 * 10.0 * 4.0
+
+
+def test_calls_are_granted_again_after_the_quota_server_fails() -> None:
+    sim = simulation(5)
+    sim.run_until(6.0, RATE / 1.6)
+    order = candidates.ranked_servers(NAME, sim.hosts["h0"].client._candidates)
+    sim.restart(order[0], 30.0)
+    sim.run_until(7.5, RATE / 1.6)
+    denied, asked = sim.denied, sim.asked
+    sim.run_until(12.0, RATE / 1.6)
+    assert sim.denied - denied <= 0.02 * (sim.asked - asked)
+
+
+def ask_lending_a_share_again(account: Any, ask_id: int, want: int, lends_ms: int) -> Any:
+    """Request credit as a host that lends its share for the same time repeatedly."""
+    found = credit_ask(account, ask_id, want, lends_ms)
     return {**found, "lends_ms": 10_000}
 
 
-question = credit._credit_ask
+credit_ask = credit._credit_ask
 MUTANTS = {
-    "a share is lent once": (credit, "_credit_ask", lends_what_others_had),
-    "a new keeper begins with a part of the slack": (quota_server, "INITIAL_SLACK_SHARE", 1e9),
+    "a share is lent once": (credit, "_credit_ask", ask_lending_a_share_again),
+    "a new server starts with a share of the slack": (quota_server, "INITIAL_SLACK_SHARE", 1e9),
 }
 
 
 @pytest.mark.parametrize("rule", MUTANTS)
-def test_without_the_rule_a_history_breaks_it(rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_removing_a_rule_exceeds_the_quota(rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
     module, name, value = MUTANTS[rule]
     monkeypatch.setattr(module, name, value)
-    most = max(most_in_a_window(troubled(seed).runs) for seed in range(24))
+    most = max(max_in_window(simulation_with_failures(seed).granted_at) for seed in range(24))
     assert most > allowed(RATE, BURST)
--- a/tests/unit/customers/test_quota_server.py
+++ b/tests/unit/customers/test_quota_server.py
@@ -1,4 +1,4 @@
-"""What a keeper lends, to whom, and what it gains while others lend in its place."""
+"""Tests of the credit that a quota server gains and grants, as primary server and otherwise."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     Hosts,
     QuotaServer,
 )
-from tests.unit.customers.world import NAME, fleet_of
+from tests.unit.customers.simulation import NAME, fleet_of
 
 if TYPE_CHECKING:
     from foldhoist.schema.messages import Credit
@@ -21,10 +21,10 @@
 FIRST, SECOND = ranked_servers(NAME, HOSTS)[:2]
 
 
-def made(
+def new_server(
     name: str = FIRST, rate: float = 8.0, burst: float = 16.0, slack: float = 0.0
 ) -> QuotaServer:
-    """Return a keeper that has all hosts connected."""
+    """Return a quota server to which all hosts are connected."""
     server = QuotaServer(name, slack)
     server.adopt(0.0, Directory(fleet_of(rate, burst)))
     update_hosts(server, 0.0)
@@ -37,8 +37,8 @@
     server.update_hosts(now, Hosts(set(HOSTS), connected, reached))
 
 
-def wait(server: QuotaServer, since: float, until: float, **of: Any) -> None:
-    """Let a keeper look at the hosts as often as it does."""
+def advance(server: QuotaServer, since: float, until: float, **of: Any) -> None:
+    """Update a server's hosts every 0.1 s until a time."""
     at = since
     while at < until:
         at = min(until, at + 0.1)
@@ -51,35 +51,35 @@
     return server.on_ask(now, host, {**plain, **fields})
 
 
-def test_it_gains_the_rate_up_to_the_burst_and_tells_when_to_come_back() -> None:
-    server = made()
-    wait(server, 0.0, 1.0)
+def test_credit_grows_at_the_rate_up_to_the_burst_and_a_denial_says_when_to_retry() -> None:
+    server = new_server()
+    advance(server, 0.0, 1.0)
     credit = ask(server, 1.0)
     assert credit["granted"] in (7, 8)
     assert 0 < credit["again_ms"] <= MAX_RETRY_AFTER_S * 1000
-    wait(server, 1.0, 60.0)
+    advance(server, 1.0, 60.0)
     credit = ask(server, 60.0, want=3)
     assert (credit["granted"], credit["again_ms"], credit["scarce"]) == (3, 0, False)
     assert ask(server, 60.0, want=10)["scarce"]
     assert ask(server, 60.0)["granted"] == 3
 
 
-def test_while_it_stands_still_it_gains_nothing() -> None:
-    server = made()
-    wait(server, 0.0, 1.0)
+def test_a_stalled_server_gains_no_credit() -> None:
+    server = new_server()
+    advance(server, 0.0, 1.0)
     ask(server, 1.0)
     assert ask(server, 11.0)["granted"] <= 1
 
 
-def test_it_gains_by_the_hosts_that_are_connected_to_it() -> None:
-    server = made()
+def test_credit_grows_with_the_share_of_connected_hosts() -> None:
+    server = new_server()
     ask(server, 0.0)
-    wait(server, 0.0, 1.0, connected=HOSTS[:4])
+    advance(server, 0.0, 1.0, connected=HOSTS[:4])
     assert ask(server, 1.0)["granted"] in (3, 4, 5)
 
 
-def test_one_that_is_not_the_first_gains_by_what_hosts_lend_it() -> None:
-    server = made(SECOND)
+def test_a_secondary_server_gains_only_what_requests_lend() -> None:
+    server = new_server(SECOND)
     for number in range(20):
         now = number / 10
         update_hosts(server, now)
@@ -88,31 +88,31 @@
     assert granted in (1, 2)
 
 
-def test_it_is_the_first_when_those_before_it_are_gone_and_begins_anew_then() -> None:
-    server = made(SECOND, slack=8.0)
+def test_a_server_that_becomes_primary_starts_with_limited_credit() -> None:
+    server = new_server(SECOND, slack=8.0)
     others = [name for name in HOSTS if name != FIRST]
-    wait(server, 0.0, 1.0, connected=others, reached=others)
+    advance(server, 0.0, 1.0, connected=others, reached=others)
     granted = ask(server, 1.0)["granted"]
     assert 0 < granted <= 8 * INITIAL_SLACK_SHARE + 8
 
 
-def test_hosts_that_ask_elsewhere_lend_it_nothing() -> None:
-    server = made()
+def test_hosts_that_ask_another_server_lend_nothing() -> None:
+    server = new_server()
     for host in HOSTS[1:]:
         if host != FIRST:
             ask(server, 0.0, want=0, host=host, elsewhere=True)
-    wait(server, 0.0, 1.0)
+    advance(server, 0.0, 1.0)
     assert ask(server, 1.0, host=FIRST)["granted"] <= 3
 
 
-def test_what_it_does_not_know_or_bound_it_says() -> None:
-    server = made()
+def test_an_unknown_customer_is_reported_and_an_unlimited_one_is_granted_everything() -> None:
+    server = new_server()
     assert not ask(server, 0.0, customer="nobody")["known"]
     server.adopt(0.0, Directory(fleet_of(0.0, 0.0)))
     assert ask(server, 0.0)["granted"] == 100
 
 
-def test_seats_are_few_the_same_for_all_and_move_little() -> None:
+def test_candidates_are_few_deterministic_and_stable() -> None:
     names = [f"host-{each}" for each in range(400)]
     taken = quota_server_candidates(names)
     assert len(taken) == 400 // 16
