--- a/foldhoist/delivery/admission_checks.py
+++ b/foldhoist/delivery/admission_checks.py
@@ -1,4 +1,4 @@
-"""Which requests an ingress refuses before any attempt: nothing of them has run."""
+"""Checks that may refuse a request before its first attempt."""
 
 from __future__ import annotations
 
@@ -12,16 +12,13 @@
     from foldhoist.routing.routes import RouteMatch, RouteTable
 
 DEFAULT_MAX_HOPS = 32
-"""Deepest nesting of calls until a configuration says it."""
+"""Deepest nesting of calls until a configuration sets it."""
 MAX_SLOWDOWN = 5.0
-"""How many times its usual time a call is given to end before its ingress does.
-
-A noisy neighbour makes work up to this much longer on the deployments measured.
-"""
+"""Factor on a call's usual time in the check whether it ends before its ingress shuts down."""
 
 
 class AdmissionChecks:
-    """What decides whether a request gets any attempt; times are monotonic seconds."""
+    """Decides whether a request gets any attempt; times are monotonic seconds."""
 
     def __init__(self, max_calls: int, quarantine: Quarantine | None = None) -> None:
         self.max_calls = max_calls
@@ -30,17 +27,17 @@
         self._stop_by = float("inf")
 
     def begin_shutdown(self, by: float) -> None:
-        """Refuse from now on what may take until after the end of this process.
+        """Refuse calls from now on that may not end before the process does.
 
-        A call that is cut off by the end of its ingress may have run, and its caller cannot send
-        it again; one refused at the door can go elsewhere.
+        A call that is cut off by the shutdown may have run, so that its caller cannot safely
+        repeat it; one refused before its first attempt can be sent elsewhere.
         """
         self._stop_by = by
 
     def refusal(
         self, req: CallerRequest, routes: RouteTable | None, routed: RouteMatch | None, calls: int
     ) -> NotRun | None:
-        """Return why a request gets no attempt, or None; `calls` have no final answer yet."""
+        """Return the refusal of a request, or None; `calls` have no final answer yet."""
         if routes is None:
             return NotRun("no-configuration", 1.0)
         if calls >= self.max_calls:
@@ -54,18 +51,18 @@
         return None
 
     def quarantined_s(self, now: float, call: Call) -> float:
-        """Return for how long a call like this is refused, seconds; 0 if it may run.
+        """Return for how long calls of this identity stay quarantined, seconds; 0 if not at all.
 
-        Upstreams have ended under such calls, and another one would.
+        Upstreams have crashed while running such calls.
         """
         if not self._quarantine.holding:
             return 0.0
         return self._quarantine.held_s(now, call.identity)
 
     def is_suspect(self, call: Call) -> bool:
-        """Return whether an upstream has ended with a call like this at work."""
+        """Return whether an upstream has crashed while running a call of this identity."""
         return self._quarantine.is_suspect(call.identity)
 
     def may_outlast_process(self, now: float, usual_s: float, budget_s: float) -> bool:
-        """Return whether a call may outlast this process; `usual_s` is 0 if nothing is known."""
+        """Return whether a call may outlast this process; `usual_s` is 0 if it is not known."""
         return now + min(budget_s, usual_s * MAX_SLOWDOWN) > self._stop_by
--- a/foldhoist/delivery/call.py
+++ b/foldhoist/delivery/call.py
@@ -1,4 +1,4 @@
-"""What an ingress takes, gives, and remembers of a call: requests, actions, attempts, records."""
+"""The ingress's data types: caller requests, actions, calls, attempts, records and counters."""
 
 from __future__ import annotations
 
@@ -23,12 +23,13 @@
 class CallerRequest(NamedTuple):
     """A request as a caller sent it; `budget_s` and `key_issued_ms` are 0 if not given.
 
-    `parent_rank` is the rank of most calls at the upstream of this host when the request came: what
-    it is a part of if that upstream sent it. `retried` tells whether it is a part of a run that was
-    a further attempt, None if the caller does not say; `parent_repeat` is then the share of such
-    runs at the upstream of this host. `caller` is the service of this host and `name` the
-    caller's own name for the request, where a deployment has them. `api_key` is the digest of its
-    API key, empty if it has none; `withheld` are the headers that tell whose call it is.
+    `parent_rank` is the most common rank of the calls that ran at this host's upstream when the
+    request came; the request belongs to one of them if that upstream sent it. `retried` says
+    whether the parent call was a repeat, None if the caller does not say; `parent_repeat` is then
+    the share of repeats among the calls of this host's upstream, 0 to 1. `caller` is the service of this host
+    and `name` the caller's own name for the request, both empty if the deployment has none.
+    `api_key` is the digest of the API key, empty if there is none. `withheld` are the headers that
+    identify the customer.
     """
 
     method: str
@@ -52,26 +53,26 @@
 
     @property
     def repeat(self) -> float:
-        """Return how likely this is a part of a run that was a further attempt, 0 to 1."""
+        """Return the probability that the parent call was a repeat, 0 to 1."""
         return self.parent_repeat if self.retried is None else float(self.retried)
 
 
 class OwnerFrame(NamedTuple):
-    """A message to an owner: its kind and its fields."""
+    """A message to an owner, with its kind and its fields."""
 
     kind: str
     body: CreditAsk | Dispatch | FateAsk | Withdraw
 
 
 class SendTo(NamedTuple):
-    """Write a frame to the owner of this name."""
+    """Send a frame to the owner of this target."""
 
     target: str
     frame: OwnerFrame
 
 
 class Reply(NamedTuple):
-    """Give the caller its final answer, now."""
+    """Send the caller its final answer."""
 
     call_id: int
     verdict: Verdict
@@ -79,7 +80,7 @@
 
 
 class Connect(NamedTuple):
-    """Open connections to these owners: calls wait for one."""
+    """Open connections to these owners; a parked call waits for one."""
 
     targets: tuple[str, ...]
 
@@ -88,7 +89,7 @@
 
 
 class Attempt(NamedTuple):
-    """One try of a call at one upstream; times are monotonic seconds, parts microseconds."""
+    """A finished attempt; `sent` and `ended` are monotonic seconds."""
 
     seq: int
     target: str
@@ -102,7 +103,7 @@
 
 
 class Record(NamedTuple):
-    """The whole story of a call at its ingress."""
+    """The decision record of a call at its ingress; times are monotonic seconds."""
 
     trace: str
     service: str
@@ -125,7 +126,7 @@
 
 @dataclass(slots=True)
 class Counters:
-    """What this ingress has counted since it started."""
+    """Events counted since the ingress started."""
 
     answered: int = 0
     calls: int = 0
@@ -142,7 +143,7 @@
     unpaid: int = 0
 
     def ended(self, verdict: Verdict) -> None:
-        """Count a call that got its final answer."""
+        """Count a final answer by its kind."""
         match verdict:
             case Answered():
                 self.answered += 1
@@ -153,7 +154,7 @@
 
 
 class Timer(IntEnum):
-    """What is to be done with a call at a set time."""
+    """What a timer of a call does when it is due."""
 
     EXPIRE = 0
     HEDGE = 1
@@ -162,7 +163,11 @@
 
 
 class PendingAttempt:
-    """An attempt that has no result yet."""
+    """An attempt without a result.
+
+    `fate_due` is when the wait for its outcome ends after its connection fell, monotonic seconds,
+    or 0.
+    """
 
     __slots__ = ("candidates", "fate_due", "reason", "sent", "seq", "target")
 
@@ -176,7 +181,12 @@
 
 
 class Call:
-    """A call that has no final answer yet; times are monotonic seconds."""
+    """A call without a final answer; times are monotonic seconds.
+
+    `dispatches` counts the attempts sent to owners, `arrivals` those of them that no owner refused
+    before they reached its upstream. `may_have_run_reason` is set once an attempt without an answer
+    may have run. `failure` is the last answer with a server error to a call that may be retried.
+    """
 
     __slots__ = (
         "admitted",
@@ -239,7 +249,7 @@
 
     @property
     def identity(self) -> str:
-        """Return by what the call is known when it comes again; it is worked out once."""
+        """Return the identity that the quarantine uses for this request; computed once."""
         if not self.cached_identity:
             req = self.req
             self.cached_identity = identity_of(
@@ -250,7 +260,7 @@
     def note(
         self, now: float, attempt: PendingAttempt, result: str, waited_us: int, served_us: int
     ) -> None:
-        """Keep what became of an attempt for the record."""
+        """Add an attempt with its result to the record."""
         ended = Attempt(
             attempt.seq,
             attempt.target,
@@ -266,7 +276,7 @@
 
 
 def make_record(call: Call, now: float, verdict: Verdict, generation: int) -> Record:
-    """Return the story of a call that ends now."""
+    """Return the decision record of a call that ends now."""
     match verdict:
         case Answered(response):
             name, reason, status = "answered", "", response.status
--- a/foldhoist/delivery/call_finisher.py
+++ b/foldhoist/delivery/call_finisher.py
@@ -1,4 +1,4 @@
-"""How calls end at an owner: who waits for the end of one, and what is sent and kept; no I/O."""
+"""Ends calls at an owner: sends results to all ingresses that wait, and keeps them; no I/O."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class CallFinisher:
-    """Ends calls: takes them off the tickets, tells all who wait, keeps what may be asked again."""
+    """Ends calls: removes their tickets, sends results to all that wait, keeps them until acked."""
 
     def __init__(
         self, tickets: Tickets, keys: KeyTable, peers: Peers, reports: LoadReports, count: Counters
@@ -40,7 +40,7 @@
     def answered(
         self, now: float, ticket_id: int, answer: Complete, served_s: float
     ) -> list[Action]:
-        """End a call that the upstream has answered; `served_s` is its time there, seconds."""
+        """End a call with the upstream's answer; `served_s` is its time there, seconds."""
         ticket = self._tickets.pop(ticket_id)
         self._count.answered += 1
         response = Response(answer.status, answer.headers, answer.body)
@@ -76,7 +76,7 @@
     def refused_on_arrival(
         self, peer: Peer, req: Dispatch, reason: str, retry_after_s: float
     ) -> Action:
-        """Send back a call that was not taken in."""
+        """Refuse a call that was not admitted."""
         load = self._reports.load()
         self.refusals.add(req, reason, retry_after_s, load)
         self._count.refused += 1
@@ -85,7 +85,7 @@
         )
 
     def fates(self, peer: Peer, seqs: list[int]) -> list[Frame]:
-        """Return what became of calls that have ended here, or never came."""
+        """Return the results of these calls, except of those that still wait or run."""
         frames: list[Frame] = []
         for seq in seqs:
             if seq in peer.live or self.joined.holds(peer.incarnation, seq):
@@ -98,14 +98,14 @@
         return frames
 
     def send(self, peer: Peer, seq: int, frame: Frame) -> Action:
-        """Send the end of a call, and keep it until its ingress says that it has it."""
+        """Send a result, and keep it until its ingress acknowledges it."""
         if peer.link == LOCAL_LINK:
             return SendTo(LOCAL_LINK, frame)
         self._peers.keep(peer, seq, frame)
         return SendTo(-1 if peer.link is None else peer.link, frame)
 
     def _waiters(self, ticket: Ticket) -> list[tuple[Peer, int]]:
-        """Return who waits for the call: its ingress, and those that sent its key again."""
+        """Return who waits for the call: its ingress, and the calls that joined by its key."""
         waiters = [(ticket.incarnation, ticket.request["seq"])]
         if ticket.key:
             waiters += self.joined.take(ticket.key)
--- a/foldhoist/delivery/call_table.py
+++ b/foldhoist/delivery/call_table.py
@@ -1,4 +1,4 @@
-"""Which calls an ingress has, where their attempts are, and when something is to be done."""
+"""The calls of an ingress with their pending attempts and timers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CallTable:
-    """Calls without a final answer, by number, by attempt and by owner; times are seconds."""
+    """Calls without a final answer, by id, by attempt and by owner; times are monotonic seconds."""
 
     def __init__(self) -> None:
         self.by_seq: dict[int, Call] = {}
@@ -22,7 +22,7 @@
         self._next_seq = 1
 
     def __len__(self) -> int:
-        """Return the number of calls."""
+        """Return the number of calls without a final answer."""
         return len(self._calls)
 
     def __contains__(self, call_id: int) -> bool:
@@ -30,30 +30,30 @@
         return call_id in self._calls
 
     def add(self, call: Call) -> None:
-        """Take in a call."""
+        """Add a call."""
         self._calls[call.call_id] = call
 
     def remove(self, call_id: int) -> Call | None:
-        """Forget a call that gets its final answer; returns None if it has had that."""
+        """Remove a call and return it, or None if it was removed before."""
         self._parked.pop(call_id, None)
         return self._calls.pop(call_id, None)
 
     def get(self, call_id: int) -> Call | None:
-        """Return a call without a final answer, or None if it has had one."""
+        """Return a call, or None if it has had its final answer."""
         return self._calls.get(call_id)
 
     def next_seq(self) -> int:
-        """Return a number for an attempt that was never used before."""
+        """Return the sequence number of a new attempt."""
         seq = self._next_seq
         self._next_seq += 1
         return seq
 
     def oldest_seq(self, otherwise: int) -> int:
-        """Return the oldest attempt without a result."""
+        """Return the sequence number of the oldest attempt without a result, or `otherwise`."""
         return next(iter(self.by_seq), otherwise)
 
     def attempts_at(self, target: str) -> list[tuple[Call, PendingAttempt]]:
-        """Return the attempts that are at this owner."""
+        """Return the attempts without a result at this owner, with their calls."""
         found: list[tuple[Call, PendingAttempt]] = []
         for call in self._calls.values():
             for attempt in call.pending.values():
@@ -62,29 +62,29 @@
         return found
 
     def awaiting_fate(self, target: str) -> list[tuple[Call, PendingAttempt]]:
-        """Return the attempts whose fate this owner is to tell."""
+        """Return the attempts at this owner that wait for their outcome after a lost connection."""
         return [(call, attempt) for call, attempt in self.attempts_at(target) if attempt.fate_due]
 
     def park(self, call: Call) -> None:
-        """Let a call wait for a first connection."""
+        """Park a call until a first connection to an owner."""
         self._parked[call.call_id] = call
 
     def unpark(self, call_id: int) -> bool:
-        """End the wait of one call; returns whether it waited."""
+        """Unpark a call; returns whether it was parked."""
         return self._parked.pop(call_id, None) is not None
 
     def unpark_all(self) -> list[Call]:
-        """End the wait of all calls and return them."""
+        """Unpark all calls and return them."""
         parked = list(self._parked.values())
         self._parked.clear()
         return parked
 
     def schedule(self, at: float, call: Call, kind: Timer) -> None:
-        """Have something done with a call at a set time."""
+        """Set a timer of a call."""
         heappush(self._timers, (at, call.call_id, kind))
 
     def due(self, now: float) -> Iterator[tuple[Call, Timer]]:
-        """Yield what is to be done now; calls that have ended are passed over."""
+        """Yield the timers that are due, with their calls; skips calls that have ended."""
         while self._timers and self._timers[0][0] <= now:
             _, call_id, kind = heappop(self._timers)
             call = self._calls.get(call_id)
@@ -92,7 +92,7 @@
                 yield call, kind
 
     def next_at(self) -> float | None:
-        """Return when something is to be done, None for never."""
+        """Return when the next timer of a call is due, or None."""
         while self._timers and self._timers[0][1] not in self._calls:
             heappop(self._timers)
         return self._timers[0][0] if self._timers else None
--- a/foldhoist/delivery/claims.py
+++ b/foldhoist/delivery/claims.py
@@ -1,4 +1,4 @@
-"""Calls with an idempotency key at their home: the first one runs, others get what became of it."""
+"""Calls with an idempotency key at their home: the first one runs, others share its result."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Claims:
-    """Claims keys for calls; times are monotonic seconds, `wall_ms` milliseconds of wall clock."""
+    """Claims keys for calls; `now` is monotonic seconds, `wall_ms` wall-clock milliseconds."""
 
     def __init__(self, keys: KeyTable, finisher: CallFinisher, count: Counters) -> None:
         self._keys = keys
@@ -25,7 +25,7 @@
     def claim(
         self, now: float, wall_ms: int, peer: Peer, req: Dispatch, load: Load
     ) -> list[Action] | None:
-        """Return what answers a call whose key is known, None if this one is to run."""
+        """Return the actions for a call that must not run, or None if it is to run."""
         request_fingerprint = fingerprint(req["method"], req["path"], req["body"])
         seq = req["seq"]
         claim = self._keys.claim(
--- a/foldhoist/delivery/dispatch.py
+++ b/foldhoist/delivery/dispatch.py
@@ -1,4 +1,4 @@
-"""What an owner takes, gives, and remembers of a call: results, actions, tickets, peers."""
+"""The owner's data types: results, actions, tickets, peers, records and counters."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 
 
 class Frame(NamedTuple):
-    """A message to an ingress: its kind and its fields."""
+    """A message to an ingress, with its kind and its fields."""
 
     kind: str
     body: Answer | Crashes | Refusal | Report
 
 
 class SendTo(NamedTuple):
-    """Write a frame to a connection."""
+    """Send a frame on a connection."""
 
     link: int
     frame: Frame
 
 
 class CloseLink(NamedTuple):
-    """Close a connection whose ingress has a newer one."""
+    """Close a connection whose ingress has opened a newer one."""
 
     link: int
 
 
 class StartCall(NamedTuple):
-    """Send this call to the upstream; at most `budget_s` seconds are left for it.
+    """Send a call to the upstream; `budget_s` is the time left until its deadline, seconds.
 
-    `instance` is the life of the upstream that it is meant for, empty if upstreams have no names.
+    `instance` is the upstream's incarnation that the call is meant for, empty if it has no name.
     """
 
     ticket: int
@@ -48,20 +48,20 @@
 
 
 class CancelCall(NamedTuple):
-    """Stop this call at the upstream: nobody waits for it, or it would end the upstream."""
+    """Stop a call at the upstream that nobody waits for or that may crash it."""
 
     ticket: int
     reason: str = "cancelled"
 
 
 class ShareSuspects(NamedTuple):
-    """Have daemons that are not connected with this owner hear of these."""
+    """Send these suspects to daemons that are not connected with this owner."""
 
     suspects: list[Suspect]
 
 
 class QuarantineCalls(NamedTuple):
-    """Calls like these are refused from now on."""
+    """Refuse calls with these identities from now on."""
 
     calls: list[str]
 
@@ -70,7 +70,7 @@
 
 
 class Complete(NamedTuple):
-    """The upstream's whole answer; `pace` is how long work takes there in percent, 0 if unsaid."""
+    """The upstream's complete answer; `pace` in percent, 0 if the upstream does not send it."""
 
     status: int
     headers: Headers
@@ -79,10 +79,10 @@
 
 
 class Sample(NamedTuple):
-    """What the upstream says of itself beside calls.
+    """The upstream's answer to a question about its state outside of calls.
 
-    `pace` is how long work takes there in percent, 0 if unsaid; `cold_s` how long it is cold yet,
-    seconds, None if unsaid.
+    `pace` is in percent, 0 if not sent; `cold_s` is for how long it is still cold, seconds, None if
+    not sent.
     """
 
     pace: int
@@ -90,17 +90,17 @@
 
 
 class Shed(NamedTuple):
-    """The upstream says that it did not run the call."""
+    """The upstream refused the call without running it."""
 
     retry_after_s: float
 
 
 class Replaced(NamedTuple):
-    """Another life of an upstream answers at the address, and says that it did not run the call."""
+    """Another incarnation of the upstream answered, and did not run the call."""
 
 
 class Incomplete(NamedTuple):
-    """No whole answer; `sent` tells whether any byte of the call may have reached the upstream."""
+    """No complete answer; `sent` says whether the upstream may have got any byte of the call."""
 
     sent: bool
     reason: str
@@ -110,7 +110,7 @@
 
 
 class Ended(NamedTuple):
-    """What a call did at this owner, for its record; times are microseconds."""
+    """The record of a call that ended at this owner; times are microseconds."""
 
     trace: str
     seq: int
@@ -123,7 +123,7 @@
 
 
 class Refused(NamedTuple):
-    """A call that an owner sent back without running it, with what that rested on."""
+    """The record of a call that the owner refused, with the load at that time."""
 
     request: str
     trace: str
@@ -138,7 +138,7 @@
 
 @dataclass(slots=True)
 class Counters:
-    """What this owner has counted since it started."""
+    """Events counted since the owner started."""
 
     answered: int = 0
     cancelled: int = 0
@@ -157,7 +157,12 @@
 
 
 class Peer:
-    """One life of one ingress process."""
+    """One incarnation of an ingress process; times are monotonic seconds.
+
+    `live` maps the attempts without a result to their tickets, `kept` others to results that the
+    ingress has not acknowledged; `last_forgotten_seq` is the highest attempt whose result was
+    dropped without that.
+    """
 
     __slots__ = (
         "epoch",
@@ -186,7 +191,11 @@
 
 
 class Ticket:
-    """A call that waits or runs here; times are monotonic seconds."""
+    """A call that waits or runs at this owner; times are monotonic seconds.
+
+    `ahead` are the calls that ran or waited when it arrived, `running_at_start` the busy slots when
+    it started, its own included. `repeat` is the probability that it is a repeat, 0 to 1.
+    """
 
     __slots__ = (
         "ahead",
@@ -221,11 +230,11 @@
 
     @property
     def identity(self) -> str:
-        """Return by what the call is known when it comes again."""
+        """Return the identity that the quarantine uses for this request."""
         return dispatch_identity(self.request)
 
 
 def dispatch_identity(req: Dispatch) -> str:
-    """Return by what a call is known when it comes again."""
+    """Return the identity that the quarantine uses for a request."""
     caller = req.get("caller", "")
     return identity_of(req["method"], req["path"], req["headers"], req["body"], caller)
--- a/foldhoist/delivery/dispatch_message.py
+++ b/foldhoist/delivery/dispatch_message.py
@@ -1,4 +1,4 @@
-"""The message by which an ingress hands a call to an owner."""
+"""Builds the message that sends a call to an owner."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
     from foldhoist.schema.messages import Dispatch
 
 DEADLINE_MARGIN_S = 0.005
-"""The owner is given this much less than is left, so that its refusal comes in time, seconds."""
+"""Time held back from the owner's budget, so that its refusal arrives in time, seconds."""
 
 
 def dispatch_message(
     now: float, call: Call, seq: int, acked: int, generation: int, expected_s: float
 ) -> Dispatch:
-    """Return the message of an attempt; `expected_s` is how long such a call takes."""
+    """Return the message of an attempt; `expected_s` is the usual time at an upstream."""
     req = call.req
     left_s = call.deadline - now
     margin = DEADLINE_MARGIN_S if left_s > 4 * DEADLINE_MARGIN_S else 0.0
--- a/foldhoist/delivery/ingress.py
+++ b/foldhoist/delivery/ingress.py
@@ -1,7 +1,7 @@
-"""The ingress's side of delivery: it owns a call from arrival to its final answer.
+"""The ingress's side of delivery: handles a call from its arrival to its final answer.
 
-It takes requests, frames and the fate of connections with an explicit `now` (monotonic seconds)
-and returns actions for the tasks that own the sockets. It does no I/O and reads no clock.
+Its methods take requests, frames and changes of connections with an explicit `now` (monotonic
+seconds) and return actions for the tasks that own the sockets. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -43,11 +43,11 @@
     from foldhoist.schema.messages import Answer, Credit, Refusal, Report
 
 FATE_TIMEOUT_S = 1.0
-"""Longest wait for an owner to say what became of a call, seconds."""
+"""Longest wait for an owner to report the outcome of a call whose connection fell, seconds."""
 
 
 class Ingress:
-    """Every call that entered at this daemon and has no final answer yet."""
+    """Runs the calls that entered at this daemon until each has its final answer."""
 
     def __init__(
         self,
@@ -68,8 +68,6 @@
         self._incarnations: dict[str, str] = {}
         self._connected: set[str] = set()
 
-    # What the tasks tell it
-
     def adopt(
         self,
         now: float,
@@ -79,7 +77,7 @@
         homes: Mapping[str, tuple[str, ...]],
         daemons: int = 1,
     ) -> list[Action]:
-        """Take over a configuration; what is known of upstreams that stay is kept."""
+        """Apply a configuration; keeps what is known of upstreams that remain in it."""
         self.generation = generation
         self.intake.adopt(fleet)
         self._services.adopt(fleet, homes)
@@ -89,16 +87,16 @@
     def track(
         self, now: float, tracked: Mapping[str, list[Member]], daemons: int = 1
     ) -> list[Action]:
-        """Take over the upstreams to choose from; `daemons` share what may be retried."""
+        """Set the upstreams to choose from; `daemons` is how many daemons share the retry slack."""
         self._services.track(now, tracked, self._connected, daemons)
         return self._unpark(now)
 
     def upstream_replaced(self, now: float, target: str) -> None:
-        """Take in that another upstream stands where this one stood."""
+        """Reset what is known of an upstream after another one took its place."""
         self._services.linked(now, target, target in self._connected, fresh=True)
 
     def arrive(self, now: float, call_id: int, req: CallerRequest) -> list[Action]:
-        """Take in a request of a caller."""
+        """Handle a request of a caller."""
         self.count.calls += 1
         entry = self.intake.process(now, call_id, req, len(self._calls))
         if isinstance(entry, RejectedRequest):
@@ -109,11 +107,11 @@
         return self._apply_gate(now, self.gate.enter(now, call))
 
     def credited(self, now: float, message: Credit) -> list[Action]:
-        """Take in what a keeper lends of a customer's quota."""
+        """Handle a quota server's reply to a request for credit."""
         return self._apply_gate(now, self.gate.credited(now, message))
 
     def answer(self, now: float, target: str, message: Answer) -> list[Action]:
-        """Take in an owner's answer; a late one is counted and dropped."""
+        """Handle an owner's answer; a late one is counted and dropped."""
         ended = self._end_attempt(message["seq"])
         if ended is None:
             return []
@@ -129,7 +127,7 @@
         return self._finish(now, call, Answered(response))
 
     def refusal(self, now: float, target: str, message: Refusal) -> list[Action]:
-        """Take in an owner's refusal: try elsewhere, or give the final answer."""
+        """Handle an owner's refusal: retry at another owner, or give the final answer."""
         ended = self._end_attempt(message["seq"])
         if ended is None:
             return []
@@ -146,12 +144,12 @@
         return self._retry(now, call, message["reason"], message["retry_after_ms"] / 1000)
 
     def report(self, now: float, target: str, message: Report) -> None:
-        """Take in a report that an owner sent by itself."""
+        """Handle an unsolicited load report of an owner."""
         for state in self._services.all():
             state.picker.reported(target, now, message["load"])
 
     def link_up(self, now: float, target: str, incarnation: str) -> list[Action]:
-        """Take in a new connection to an owner; ask for the fate of calls of an older one."""
+        """Handle a new connection to an owner; asks for the outcome of calls of an older one."""
         fresh = self._incarnations.get(target) != incarnation
         self._incarnations[target] = incarnation
         self._connected.add(target)
@@ -160,13 +158,13 @@
         return [*self._ask_fate(now, target, fresh), *self._unpark(now)]
 
     def link_closing(self, now: float, target: str) -> list[Action]:
-        """Take in that an owner takes no more calls; it still answers those that it has."""
+        """Stop sending calls to an owner; it still answers those that it has."""
         self._connected.discard(target)
         self._services.linked(now, target, False, fresh=False)
         return self._apply_gate(now, self.gate.linked(now, target, up=False))
 
     def link_lost(self, now: float, target: str) -> list[Action]:
-        """Take in that a connection to an owner fell."""
+        """Handle the loss of the connection to an owner."""
         actions = self.link_closing(now, target)
         for call, attempt in self._calls.attempts_at(target):
             if attempt.fate_due:
@@ -179,11 +177,11 @@
         return actions
 
     def link_refused(self, now: float, target: str) -> list[Action]:
-        """Take in that the owner's process is gone: nobody can say what became of its calls."""
+        """Handle the end of an owner's process: the outcome of its calls stays unknown."""
         return self._end_awaiting_fate(now, target, "owner-gone")
 
     def caller_disconnected(self, now: float, call_id: int) -> list[Action]:
-        """Take in that a caller has closed its connection: nobody waits for the call."""
+        """Withdraw a call whose caller has closed its connection."""
         call = self._calls.remove(call_id)
         if call is None:
             return []
@@ -192,36 +190,32 @@
         return self._withdraw_all(now, call)
 
     def tick(self, now: float) -> list[Action]:
-        """Give the final answer to calls whose time is up, and send hedges."""
+        """Run the timers that are due: deadlines, hedges and waits."""
         actions = self._apply_gate(now, self.gate.tick(now))
         for call, kind in self._calls.due(now):
             actions += self._on_timer(now, call, kind)
         return actions
 
-    # What others may read
-
     def next_at(self) -> float | None:
-        """Return when `tick` has something to do, monotonic seconds."""
+        """Return when `tick` is due next, monotonic seconds, or None if nothing is scheduled."""
         times = [at for at in (self._calls.next_at(), self.gate.next_at()) if at is not None]
         return min(times, default=None)
 
     @property
     def calls(self) -> int:
-        """Return the calls without a final answer."""
+        """Return the number of calls without a final answer."""
         return len(self._calls)
 
     def is_busy(self, target: str) -> bool:
-        """Return whether a call is under way at an owner."""
+        """Return whether an attempt without a result is at this owner."""
         return bool(self._calls.attempts_at(target))
 
     def pickers(self) -> dict[str, Picker]:
         """Return the picker of each service."""
         return {name: state.picker for name, state in self._services.items()}
 
-    # Steps
-
     def _end_attempt(self, seq: int) -> tuple[Call, PendingAttempt, Picker | None] | None:
-        """Return the call and the attempt that a result is for, or None if it comes too late."""
+        """Remove the attempt that a result is for; returns None if the result is late."""
         call = self._calls.by_seq.pop(seq, None)
         if call is None:
             self.count.late += 1
@@ -266,7 +260,7 @@
         return Reply(call.call_id, verdict, make_record(call, now, verdict, self.generation))
 
     def _apply_gate(self, now: float, decided: list[GateAction]) -> list[Action]:
-        """Carry out what was decided on calls of customers with quotas."""
+        """Apply the quota gate's decisions."""
         actions: list[Action] = []
         for each in decided:
             match each:
@@ -279,7 +273,7 @@
         return actions
 
     def _begin(self, now: float, call: Call) -> list[Action]:
-        """Make the first attempt of a call that may run."""
+        """Make the first attempt of a call that the quota gate let through."""
         state = self._services.get(call.service)
         if state is None:
             return self._give_up(now, call, "service-removed", 1.0)
@@ -323,7 +317,7 @@
         return self._attempt(now, call, first_reason=reason)
 
     def _hedge(self, now: float, call: Call) -> list[Action]:
-        # Under a call that ends upstreams a hedge would end a second one at once.
+        # A call that may have crashed an upstream is not sent to a second one meanwhile.
         if len(call.pending) != 1 or self.admission.is_suspect(call):
             return []
         if not rules.may_retry(now, call, self._services.get(call.service), self.count):
--- a/foldhoist/delivery/keys.py
+++ b/foldhoist/delivery/keys.py
@@ -1,8 +1,7 @@
 """Idempotency keys at their home: each key runs at most once within its window.
 
-A home runs a key only if it knows every run of that key since the key was issued. Where it does
-not, it refuses, and says whether the key may have run before. docs/design/at-most-once.md gives
-the argument.
+A home runs a key only if it knows every run of that key since the key was issued. Otherwise it
+refuses, and states whether the key may have run before. See docs/design/at-most-once.md.
 """
 
 from __future__ import annotations
@@ -19,31 +18,31 @@
     from foldhoist.schema.messages import Handed, KeyState
 
 KEY_WINDOW_S = 600.0
-"""How long a key is remembered unless a configuration says otherwise, seconds."""
+"""How long a key is remembered unless a configuration sets it, seconds."""
 CLOCK_SKEW_MS = 2000
-"""Wall clocks of two hosts are trusted to differ by less than this, milliseconds."""
+"""Wall clocks of two hosts are assumed to differ by less than this, milliseconds."""
 MAX_KEYS = 50_000
-"""Keys that one home remembers; more are refused."""
+"""Keys that one home remembers; further new keys are refused."""
 MAX_ANSWER_BYTES = 32 * 1024 * 1024
-"""Bytes of answers that one home keeps for keys; with more, new keys are refused."""
+"""Bytes of answer bodies that one home keeps; from this on new keys are refused."""
 
 
 class Run(NamedTuple):
-    """The key is new here and was claimed: run it."""
+    """The key was new and is now claimed: run the call."""
 
 
 class Join(NamedTuple):
-    """The key is running: its answer is the answer of this call, too."""
+    """A call with this key is running: this call gets the same result."""
 
 
 class Replay(NamedTuple):
-    """The key has run: this is its answer."""
+    """A call with this key was answered: send its answer again."""
 
     response: Response
 
 
 class Deny(NamedTuple):
-    """The key is not run. `ran` is "maybe" if an earlier call with it may have run."""
+    """The call is not run; `ran` is "maybe" if an earlier call with the key may have run."""
 
     ran: str
     reason: str
@@ -64,7 +63,7 @@
 
 
 def fingerprint(method: str, path: str, body: bytes) -> str:
-    """Return a digest of what a request asks for."""
+    """Return a digest of a request's method, path and body."""
     digest = blake2b(digest_size=12)
     digest.update(f"{method} {path}\0".encode())
     digest.update(body)
@@ -72,7 +71,7 @@
 
 
 def uuid7_issued_ms(key: str) -> int:
-    """Return the wall clock in milliseconds inside a UUIDv7, or 0 if the key is none."""
+    """Return the wall-clock time in a UUIDv7, milliseconds, or 0 if the key is no UUIDv7."""
     digits = key.replace("-", "")
     if len(digits) != 32 or digits[12] != "7":
         return 0
@@ -83,7 +82,7 @@
 
 
 class KeyTable:
-    """The keys of one home; `now` is monotonic seconds, `wall_ms` wall clock milliseconds."""
+    """The keys of one home; `now` is monotonic seconds, `wall_ms` wall-clock milliseconds."""
 
     def __init__(self, name: str, window_s: float) -> None:
         self.name = name
@@ -99,20 +98,20 @@
 
     @property
     def pending(self) -> frozenset[str]:
-        """Return the former homes that have not handed over yet."""
+        """Return the targets that have not handed over their keys yet."""
         return frozenset(self._pending)
 
     @property
     def since_ms(self) -> int:
-        """Return the wall clock from which on every key of this home is known."""
+        """Return the wall-clock time since which every run of this home's keys is known."""
         return max(self._own_since_ms, self._moved_since_ms)
 
     def adopt(
         self, wall_ms: int, generation: int, serving: Iterable[str], others: Iterable[str]
     ) -> frozenset[str]:
-        """Take over a generation; return the targets that must hand over their keys first.
+        """Apply a generation; returns the targets that must hand over their keys first.
 
-        `serving` are the names that may be homes, `others` all that are not retired.
+        `serving` are the targets that may be homes, `others` all that are not retired.
         """
         names = frozenset(serving)
         followed = generation == self.generation + 1 and self._names is not None
@@ -135,7 +134,7 @@
         return frozenset(self._pending)
 
     def handed(self, now: float, message: Handed) -> None:
-        """Take in what a former home knew; it runs keys of ours no more."""
+        """Import the keys of a former home, which no longer runs them."""
         if message["generation"] < self.generation:
             return
         if message["former"] not in self._pending:
@@ -147,7 +146,7 @@
             self._import(now, state)
 
     def export(self, now: float, target: str) -> list[KeyState]:
-        """Return what is known of the keys whose home is `target` now."""
+        """Return the state of the keys whose home is now `target`."""
         states: list[KeyState] = []
         for key, entry in self._entries.items():
             if self._home(key) != target:
@@ -158,7 +157,7 @@
     def claim(
         self, now: float, wall_ms: int, key: str, issued_ms: int, request_fingerprint: str
     ) -> Claim:
-        """Decide on a call with this key; `request_fingerprint` is by `fingerprint`."""
+        """Decide whether a call with this key runs; `issued_ms` is 0 if not known."""
         if self._home(key) != self.name:
             return Deny("no", "key-has-another-home", 0.5)
         entry = self._entries.get(key)
@@ -179,7 +178,7 @@
         return Run()
 
     def ended(self, key: str, response: Response | None, ran: bool) -> None:
-        """Take in the end of a claimed run: its answer, or that it may have run, or did not."""
+        """Record the end of a claimed run: answered, may have run (no response), or not run."""
         entry = self._entries.get(key)
         if entry is None:
             return
@@ -192,7 +191,7 @@
             self._bytes += len(response.body)
 
     def expire(self, now: float) -> None:
-        """Forget the keys whose window has passed."""
+        """Forget the keys whose window has passed, except those that still run."""
         limit = now - self.window_s
         old = [key for key, entry in self._entries.items() if entry.claimed_at < limit]
         for key in old:
--- a/foldhoist/delivery/quota_gate.py
+++ b/foldhoist/delivery/quota_gate.py
@@ -1,4 +1,4 @@
-"""Where calls of customers with quotas wait until they may run; between the ingress and credit."""
+"""Holds calls of customers with quotas until credit is granted or denied."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
     from foldhoist.schema.messages import Credit
 
 TOO_MANY_REQUESTS = 429
-"""Status of a call beyond its customer's quota."""
+"""Status of a call over its customer's quota."""
 UNAVAILABLE = 503
-"""Status of a call of which it is not known whether it is within its customer's quota."""
+"""Status of a call refused because its customer's quota state is not known."""
 
 
 class Begin(NamedTuple):
-    """A call that may make its first attempt."""
+    """Make the first attempt of this call."""
 
     call: Call
 
 
 class Refuse(NamedTuple):
-    """A call that ends without an attempt."""
+    """End this call without an attempt."""
 
     call: Call
     verdict: NotRun
@@ -40,7 +40,7 @@
 
 
 class QuotaGate:
-    """Calls that wait for credit, and what becomes of it; times are monotonic seconds."""
+    """Decides on calls by their customers' credit; times are monotonic seconds."""
 
     def __init__(self, calls: CallTable, count: Counters, rng: Random) -> None:
         self.credits = CreditClient(rng)
@@ -48,33 +48,33 @@
         self._count = count
 
     def adopt(self, now: float, directory: Directory) -> list[GateAction]:
-        """Take over a configuration."""
+        """Apply the customers of a configuration."""
         return self._actions(self.credits.adopt(now, directory))
 
     def enter(self, now: float, call: Call) -> list[GateAction]:
-        """Let a call that is in the book run, wait for credit, or be refused."""
+        """Start a call, refuse it, or let it wait for credit; it must be in the call table."""
         if call.customer is None or not call.customer.limited:
             return [Begin(call)]
         return self._actions(self.credits.admit(now, call.customer, call.call_id))
 
     def credited(self, now: float, message: Credit) -> list[GateAction]:
-        """Take in what a keeper lends."""
+        """Handle a quota server's reply to a request for credit."""
         return self._actions(self.credits.on_credit(now, message))
 
     def linked(self, now: float, host: str, *, up: bool) -> list[GateAction]:
-        """Take in that a host is connected, or not any more."""
+        """Record that a host is connected or not."""
         return self._actions(self.credits.link_changed(now, host, up=up))
 
     def tick(self, now: float) -> list[GateAction]:
-        """End waits for keepers that do not answer."""
+        """Handle quota servers that have not answered in time."""
         return self._actions(self.credits.tick(now))
 
     def next_at(self) -> float | None:
-        """Return when `tick` has something to do, None for never."""
+        """Return when `tick` is due next, monotonic seconds, or None."""
         return self.credits.next_at()
 
     def ended(self, now: float, call: Call, *, ran: bool) -> None:
-        """Take back the credit of a call that did not run, or its wait for some."""
+        """Return the credit of a call that did not run, or withdraw its wait for credit."""
         if call.customer is None or not call.customer.limited:
             return
         if not call.admitted:
@@ -82,8 +82,6 @@
         elif not ran:
             self.credits.return_credit(now, call.customer)
 
-    # Steps
-
     def _actions(self, steps: list[Step]) -> list[GateAction]:
         actions: list[GateAction] = []
         for step in steps:
--- a/foldhoist/delivery/repeats.py
+++ b/foldhoist/delivery/repeats.py
@@ -1,28 +1,28 @@
-"""Which share of the calls that an upstream got lately were repeats; no I/O, no clock."""
+"""Estimates the share of repeats among an upstream's recent calls; no I/O, no clock."""
 
 from __future__ import annotations
 
 from foldhoist.admission.fading import FadingShare
 
 DECAY_S = 1.0
-"""A call counts by 1/e after this long, seconds: about ten times a call's work.
+"""Time after which a call's weight has decayed to 1/e, seconds.
 
-An upstream makes its calls soon after it was called itself.
+Short, because an upstream makes its own calls soon after it was called.
 """
 
 
 class StartedRepeats:
-    """Calls that went to an upstream, and how many of them were repeats; older ones count less.
+    """The decaying share of repeats among the calls that were started at an upstream.
 
-    Counted are calls that begin, not those at work: a repeat often ends early, since one of two
-    attempts is given up, but has made its own calls by then.
+    Counts calls when they start, not while they run: a repeat often ends early, since one of two
+    attempts is withdrawn, but may have made its own calls by then.
     """
 
     def __init__(self) -> None:
         self._started = FadingShare(0.0, DECAY_S)
 
     def started(self, now: float, repeat: float) -> None:
-        """Count a call that went to the upstream; `repeat` is how likely it is one, 0 to 1."""
+        """Count a started call; `repeat` is the probability that it is a repeat, 0 to 1."""
         self._started.count(now, repeat)
 
     @property
--- a/foldhoist/delivery/request_intake.py
+++ b/foldhoist/delivery/request_intake.py
@@ -1,4 +1,4 @@
-"""From a caller's request to a call: its route, whose it is, and whether it gets any attempt."""
+"""Turns a caller's request into a call: finds its route and customer, and checks its admission."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
     from foldhoist.schema.fleet import Fleet
 
 UNAUTHORIZED = 401
-"""Status of a request whose customer is not known."""
+"""Status of a request without a known customer."""
 ROUTE_RANKS = 4
-"""Ranks of routes that are told apart within one rank of customers."""
+"""Number of route ranks within one customer rank."""
 
 
 class AcceptedRequest(NamedTuple):
-    """A call that may be attempted."""
+    """A request that became a call."""
 
     call: Call
 
 
 class RejectedRequest(NamedTuple):
-    """A call that gets no attempt, and why."""
+    """A request that gets no attempt, with its final answer."""
 
     call: Call
     verdict: NotRun
@@ -41,7 +41,7 @@
 
 
 class RequestIntake:
-    """Makes calls of requests by the configuration in force; times are monotonic seconds."""
+    """Accepts or rejects requests by the configuration in force; times are monotonic seconds."""
 
     def __init__(self, admission: AdmissionChecks, services: Services) -> None:
         self.customers = Directory()
@@ -50,30 +50,37 @@
         self._routes: RouteTable | None = None
 
     def adopt(self, fleet: Fleet) -> None:
-        """Take over a configuration."""
+        """Apply a configuration."""
         self._admission.max_hops = fleet["fleet"]["hops"]
         self._routes = RouteTable(fleet)
         self.customers = Directory(fleet)
 
     def process(self, now: float, call_id: int, req: CallerRequest, calls: int) -> IntakeResult:
-        """Return the call of a request; `calls` have no final answer yet."""
+        """Accept or reject a request; `calls` is the number of calls without a final answer."""
         routed = self._route(req)
         refused = self._admission.refusal(req, self._routes, routed, calls)
         if refused is not None or routed is None:
             verdict = refused or NotRun("no-configuration", 1.0)
             return _rejected(now, call_id, req, routed, verdict)
-        who = self.customers.identify(req.api_key, is_open=routed.open)
-        if not isinstance(who, Identified):
-            verdict = NotRun(who.reason, 0.0, status=UNAUTHORIZED)
+        identified = self.customers.identify(req.api_key, is_open=routed.open)
+        if not isinstance(identified, Identified):
+            verdict = NotRun(identified.reason, 0.0, status=UNAUTHORIZED)
             return _rejected(now, call_id, req, routed, verdict)
         return self._accept(
-            now, call_id, self._visible_request(req), _with_customer_rank(routed, who.customer), who
+            now,
+            call_id,
+            self._visible_request(req),
+            _with_customer_rank(routed, identified.customer),
+            identified,
         )
 
-    # Steps
-
     def _accept(
-        self, now: float, call_id: int, req: CallerRequest, routed: RouteMatch, who: Identified
+        self,
+        now: float,
+        call_id: int,
+        req: CallerRequest,
+        routed: RouteMatch,
+        identified: Identified,
     ) -> IntakeResult:
         state = self._services.get(routed.service)
         if state is None:
@@ -83,13 +90,13 @@
         if self._admission.may_outlast_process(now, state.picker.times.mean(routed.route), budget):
             verdict = NotRun("daemon-leaving", 0.0)
             return _rejected(now, call_id, req, routed, verdict)
-        call = Call(call_id, req, routed, now, now + budget, who.customer)
+        call = Call(call_id, req, routed, now, now + budget, identified.customer)
         if quarantined_s := self._admission.quarantined_s(now, call):
             return _rejected(now, call_id, req, routed, NotRun(HELD, quarantined_s))
         return AcceptedRequest(call)
 
     def _route(self, req: CallerRequest) -> RouteMatch | None:
-        """Return the call's route with the service drawn for it, or None if there is none."""
+        """Return the request's route, or None; draws the service if the route is split."""
         if self._routes is None:
             return None
         routed = self._routes.find(req.method, req.path, req.host)
@@ -100,8 +107,8 @@
     def _visible_request(self, req: CallerRequest) -> CallerRequest:
         """Return the request as upstreams may see it.
 
-        What tells whose call it is stays here where there are customers, and travels with the
-        request where there are none.
+        The headers that identify a customer are dropped if the configuration has customers, and
+        passed on if it has none.
         """
         if self.customers.has_customers or not req.withheld:
             return req._replace(withheld=())
@@ -109,7 +116,7 @@
 
 
 def _with_customer_rank(routed: RouteMatch, customer: Customer | None) -> RouteMatch:
-    """Return the route with the customer's rank, which goes first; the route's decides within."""
+    """Return the route with a rank that orders by the customer's rank, then by the route's."""
     if customer is None or customer.rank == NO_RANK:
         return routed
     within = min(max(0, routed.rank), ROUTE_RANKS - 1)
--- a/foldhoist/delivery/rules.py
+++ b/foldhoist/delivery/rules.py
@@ -1,4 +1,4 @@
-"""What may be tried again, what pickers learn."""
+"""Rules for attempts: time limits, hedges, retries, the choice of an owner and its feedback."""
 
 from __future__ import annotations
 
@@ -21,28 +21,28 @@
     from foldhoist.schema.messages import Answer, Refusal
 
 MAX_REFUSALS = 3
-"""Owners that may refuse a call before it is given up."""
+"""Refusals by owners after which a call may still be retried."""
 SERVER_ERROR = 500
-"""Statuses from this on count against an upstream."""
+"""Lowest status that counts as a failure of the upstream."""
 MIN_BUDGET_S = 0.001
 """A call with less time left than this is not dispatched, seconds."""
 REMOTE_COST_SHARE = 0.4
-"""What another data centre costs beside the time of a call, as a share of its objective."""
+"""Extra cost of an upstream in another data centre, as a share of the call's objective."""
 REMOTE_COST_SHARE_PER_KB = 0.08
-"""What each kilobyte of the call's bodies adds to that share."""
+"""Added to that share for each kilobyte of the bodies of the route's calls."""
 
 MAX_PARK_S = 0.3
-"""Longest wait of a call for a first connection to an owner, seconds."""
+"""Longest wait of a parked call for a connection to an owner, seconds."""
 
 
 def budget_s(req: CallerRequest, routed: RouteMatch, state: ServiceState) -> float:
-    """Return how long a call may take, seconds: its caller's word, within that of its route."""
+    """Return the time limit of a call, seconds: the caller's, but not above that of the route."""
     limit = routed.timeout_s or state.cfg["deadline_ms"] / 1000
     return min(req.budget_s, limit) if req.budget_s > 0 else limit
 
 
 def hedge_after_s(call: Call, state: ServiceState) -> float:
-    """Return how long a call runs before it is sent to a second upstream, seconds; 0 for never."""
+    """Return after which time a call is hedged, seconds; 0 for never."""
     if not call.repeatable or call.req.retried:
         return 0.0
     expect_s = state.picker.times.mean(call.route)
@@ -50,9 +50,9 @@
 
 
 def max_park_s(now: float, call: Call, state: ServiceState) -> float:
-    """Return how long a call may wait for a first connection to an owner, seconds.
+    """Return how long a call may be parked without a connection to an owner, seconds.
 
-    Nothing is offered to it meanwhile, so it is sent back at once where no upstream is known.
+    Returns 0 if the service has had no known upstream for a while.
     """
     if not state.may_appear(now):
         return 0.0
@@ -62,11 +62,11 @@
 
 
 def may_retry(now: float, call: Call, state: ServiceState | None, count: Counters) -> bool:
-    """Return whether a call may be sent once more, and take that from the budget.
+    """Return whether a call may be sent once more; a paid retry is taken from the budget.
 
-    What an owner refused without asking its upstream is no arrival: trying another costs nothing
-    of the budget. What an upstream turned away is one: upstreams that turn every call away would
-    else get up to four arrivals a call.
+    A retry is free while no attempt has arrived at an upstream: refusals by owners alone cost
+    nothing. Calls that upstreams shed count as arrivals, since upstreams that shed every call would
+    otherwise get several arrivals for each.
     """
     if state is None or call.req.key or call.req.retried:
         return False
@@ -89,7 +89,7 @@
 def pick(
     now: float, call: Call, state: ServiceState | None, up: Container[str], *, explain: bool
 ) -> Choice | NoChoice:
-    """Return where a call goes next; `up` are the owners that are connected."""
+    """Return the choice of an owner for a call; `up` are the connected owners."""
     if state is None:
         return NoChoice("service-removed", 0.0)
     if call.req.key:
@@ -99,7 +99,7 @@
 
 
 def last_verdict(call: Call, not_run: NotRun) -> Verdict:
-    """Return the final answer of a call that is not sent again: `not_run` if it never ran."""
+    """Return the final answer of a call that is not retried: `not_run` if it did not run."""
     if call.failure is not None:
         return Answered(call.failure)
     if call.may_have_run_reason:
@@ -108,7 +108,7 @@
 
 
 def remote_cost_s(call: Call, state: ServiceState) -> float:
-    """Return what another data centre costs this call beside its time, seconds."""
+    """Return the extra cost of an upstream in another data centre for this call, seconds."""
     if not call.objective_s:
         return REMOTE_COST_S
     kilobytes = state.picker.times.size(call.route) / 1000
@@ -124,7 +124,7 @@
 
 
 def choose_key_home(call: Call, state: ServiceState, up: Container[str]) -> Choice | NoChoice:
-    """Return the home of the call's idempotency key, if it is among the connected ones."""
+    """Return the home of the call's idempotency key if it is connected, else the reason."""
     name = home(state.homes, call.req.key)
     if name is None:
         return NoChoice("key-has-no-home", 1.0)
@@ -136,7 +136,7 @@
 def report_answer(
     now: float, picker: Picker, call: Call, attempt: PendingAttempt, message: Answer
 ) -> None:
-    """Let the picker learn from an answer."""
+    """Pass an answer's load and times to the picker."""
     failed = message["status"] >= SERVER_ERROR
     size = len(call.req.body) + len(message["body"])
     load, ahead = message["load"], message["ahead"]
@@ -149,7 +149,7 @@
 def report_refusal(
     now: float, picker: Picker, call: Call, attempt: PendingAttempt, message: Refusal
 ) -> None:
-    """Let the picker learn from a refusal; one of a key says nothing of the upstream's room."""
+    """Pass a refusal to the picker; one of a call with a key does not show the upstream's load."""
     if message["ran"] == "maybe":
         picker.lost(attempt.target, attempt.seq, now)
         return
--- a/foldhoist/delivery/services.py
+++ b/foldhoist/delivery/services.py
@@ -1,4 +1,4 @@
-"""The services of the configuration in force, with what an ingress knows of each."""
+"""The services of the configuration in force, with an ingress's state for each."""
 
 from __future__ import annotations
 
@@ -20,41 +20,40 @@
     from foldhoist.schema.fleet import Fleet, Service
 
 SLACK_CAPACITY_SHARE = 0.4
-"""Share of the retries allowed beside a share of calls that all daemons together may hold.
+"""Share of the retry slack that all daemons together may accumulate.
 
-With the default of 20 and few daemons each begins with one, so that its first call may be retried.
+With a slack of 20 and up to eight daemons, each can hold one attempt.
 """
 SLACK_REFILL_SHARE = 0.1
-"""Share of these that all daemons together gain in a window.
+"""Share of the retry slack that all daemons together regain in a window.
 
-What is left of the slack is for what chance and uneven debts of daemons add along a chain: with 0.2
-the last of 29 services got up to 4 arrivals too many in 10 s, counted on simulated time.
+The rest is a margin for the random and uneven use by daemons along a chain of services.
 """
 ANNOUNCEMENT_TIMEOUT_S = 2.0
-"""A service of which no upstream was heard for this long has none, seconds.
+"""A service without a known upstream for this long counts as having none, seconds.
 
-Upstreams announce themselves about every 1.5 s on the deployments known.
+It must be longer than the interval at which upstreams announce themselves.
 """
 MIN_DAEMONS = 8
-"""A daemon that knows fewer others may not know all of them, and takes no larger part."""
+"""Least number by which the slack is divided, as a daemon may not know all others yet."""
 
 
 @dataclass(slots=True)
 class RetrySlack:
-    """Further attempts that all daemons together may make in a window beside a share of calls."""
+    """Retries that all daemons together may make in a window on top of a share of calls."""
 
     attempts: float
     window_s: float
 
     def part(self, daemons: int) -> SlackPart:
-        """Return the part of each of so many daemons."""
+        """Return the part of one daemon of this many."""
         attempts = self.attempts / max(MIN_DAEMONS, daemons)
         per_s = attempts * SLACK_REFILL_SHARE / self.window_s
         return SlackPart(attempts * SLACK_CAPACITY_SHARE, per_s, self.window_s)
 
 
 class ServiceState:
-    """A service of the configuration in force, with what this ingress knows of it."""
+    """A service of the configuration in force: its picker, retry budget and homes of keys."""
 
     __slots__ = ("budget", "cfg", "homes", "missing_since", "picker")
 
@@ -66,7 +65,7 @@
         self.missing_since: float | None = None
 
     def track(self, now: float, members: list[Member]) -> None:
-        """Take over the upstreams to choose from."""
+        """Set the upstreams to choose from."""
         self.picker.members(members, now)
         if members:
             self.missing_since = None
@@ -74,12 +73,12 @@
             self.missing_since = now
 
     def may_appear(self, now: float) -> bool:
-        """Return whether an upstream can be hoped for: one is known, or was a moment ago."""
+        """Return whether an upstream is known or was known until recently."""
         return self.missing_since is None or now - self.missing_since < ANNOUNCEMENT_TIMEOUT_S
 
 
 class Services:
-    """All services by name; what is known of those that stay is kept."""
+    """All services by name; keeps the state of those that remain in the configuration."""
 
     def __init__(self, data_centre: str, rng: Random, slack: RetrySlack | None) -> None:
         self._data_centre = data_centre
@@ -89,7 +88,7 @@
         self._splits: dict[str, Split] = {}
 
     def adopt(self, fleet: Fleet, homes: Mapping[str, tuple[str, ...]]) -> None:
-        """Take over the services of a configuration."""
+        """Apply the services of a configuration."""
         services: dict[str, ServiceState] = {}
         for name, cfg in fleet["services"].items():
             state = self._state(name, cfg)
@@ -103,7 +102,7 @@
     def track(
         self, now: float, tracked: Mapping[str, list[Member]], up: Container[str], daemons: int
     ) -> None:
-        """Take over the upstreams to choose from; `up` are those that are connected."""
+        """Set the upstreams to choose from; `up` are the connected ones."""
         for name, state in self._by_name.items():
             state.track(now, tracked.get(name, []))
             for target in state.picker.tracks:
@@ -112,12 +111,12 @@
                 state.budget.bound(now, self._slack.part(daemons))
 
     def linked(self, now: float, target: str, up: bool, fresh: bool) -> None:
-        """Take in that the connection to an owner stands or fell; `fresh` marks a new life."""
+        """Record that an owner is connected or not; `fresh` marks a new incarnation."""
         for state in self._by_name.values():
             state.picker.linked(target, now, up, fresh)
 
     def draw(self, routed: RouteMatch) -> str:
-        """Return the service that takes the next call of a split route."""
+        """Draw the service for the next call of a split route."""
         split = self._splits.get(routed.route)
         if split is None or split.parts != routed.parts:
             split = Split(routed.parts, self._rng)
@@ -125,7 +124,7 @@
         return split.draw()
 
     def get(self, name: str) -> ServiceState | None:
-        """Return a service, or None if it is not in the configuration any more."""
+        """Return a service, or None if the configuration does not have it."""
         return self._by_name.get(name)
 
     def all(self) -> Iterable[ServiceState]:
@@ -149,6 +148,6 @@
         if old is None:
             return ServiceState(cfg, picker, RetryBudget(cfg["retry_share"], self._rng))
         picker.tracks = old.picker.tracks
-        # What was spent in this window stays spent, whatever option has changed.
+        # The budget is kept, so that a change of options does not refill it.
         old.budget.share = cfg["retry_share"]
         return ServiceState(cfg, picker, old.budget)
--- a/foldhoist/delivery/waiting_calls.py
+++ b/foldhoist/delivery/waiting_calls.py
@@ -1,4 +1,4 @@
-"""Refuses calls that wait at an owner and will not start any more; no I/O."""
+"""Refuses calls that wait at an owner and must not start; no I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class WaitingCalls:
-    """The calls of one owner that have no slot yet."""
+    """The calls of an owner that wait for a slot."""
 
     def __init__(
         self, queue: SlotQueue | DueQueue, tickets: Tickets, finisher: CallFinisher
@@ -23,7 +23,7 @@
         self._finisher = finisher
 
     def refuse(self, ticket_ids: list[int], reason: str) -> list[Action]:
-        """Refuse those of these calls that wait."""
+        """Refuse those of these calls that wait for a slot."""
         actions: list[Action] = []
         for ticket_id in ticket_ids:
             if self._tickets[ticket_id].running:
