--- a/foldhoist/membership/__init__.py
+++ b/foldhoist/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which upstreams may get work; no I/O."""
+"""Membership: known daemons and their upstreams; no I/O."""
--- a/foldhoist/membership/hash_ring.py
+++ b/foldhoist/membership/hash_ring.py
@@ -1,4 +1,4 @@
-"""Names on a ring by their hash: neighbours are found without looking at all names; no I/O."""
+"""A ring of names ordered by hash, to find the successors of a name; no I/O."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
     """Names in the order of their hash; the last is followed by the first."""
 
     def __init__(self) -> None:
-        self._places: list[tuple[bytes, str]] = []
+        self._entries: list[tuple[bytes, str]] = []
 
     def __len__(self) -> int:
         """Return the number of names."""
-        return len(self._places)
+        return len(self._entries)
 
     def __iter__(self) -> Iterator[str]:
-        """Return every name, from the least hash on."""
-        return (name for _, name in self._places)
+        """Return every name, from the lowest hash on."""
+        return (name for _, name in self._entries)
 
     def add(self, name: str) -> None:
-        """Put a name in its place; one that is there stays."""
-        entry = _place(name)
-        at = bisect_left(self._places, entry)
-        if at < len(self._places) and self._places[at] == entry:
+        """Add a name; no effect if it is present."""
+        entry = _entry(name)
+        index = bisect_left(self._entries, entry)
+        if index < len(self._entries) and self._entries[index] == entry:
             return
-        insort(self._places, entry)
+        insort(self._entries, entry)
 
     def discard(self, name: str) -> None:
-        """Take a name out, if it is there."""
-        entry = _place(name)
-        at = bisect_left(self._places, entry)
-        if at < len(self._places) and self._places[at] == entry:
-            del self._places[at]
+        """Remove a name; no effect if it is absent."""
+        entry = _entry(name)
+        index = bisect_left(self._entries, entry)
+        if index < len(self._entries) and self._entries[index] == entry:
+            del self._entries[index]
 
     def after(self, name: str) -> Iterator[str]:
-        """Return every other name once, beginning behind the place of this one."""
-        start = bisect_left(self._places, _place(name))
-        size = len(self._places)
+        """Return every other name once, starting after the position of this one."""
+        start = bisect_left(self._entries, _entry(name))
+        size = len(self._entries)
         for step in range(size):
-            other = self._places[(start + step) % size][1]
+            other = self._entries[(start + step) % size][1]
             if other != name:
                 yield other
 
 
-def _place(name: str) -> tuple[bytes, str]:
+def _entry(name: str) -> tuple[bytes, str]:
     return blake2b(name.encode(), digest_size=8).digest(), name
--- a/foldhoist/membership/incarnations.py
+++ b/foldhoist/membership/incarnations.py
@@ -1,6 +1,6 @@
-"""Lives of an upstream, and which of them have ended; no I/O.
+"""Incarnations of upstreams, and which of them have ended; no I/O.
 
-An upstream may start again under the name that it had. A life is its name and its start.
+An upstream may restart under the same name; an incarnation is identified by name and start time.
 """
 
 from __future__ import annotations
@@ -12,66 +12,75 @@
 
     from foldhoist.schema.messages import Announced, EndedLife
 
-ENDED_KEPT = 16
-"""Names of upstreams of which it is remembered that lives have ended."""
+MAX_ENDED_NAMES = 16
+"""Maximum number of upstream names whose ended incarnations are kept."""
 
 
 class UpstreamIncarnation(NamedTuple):
-    """One life of an upstream; `born_ms` is its start, wall clock, 0 where it tells none."""
+    """One incarnation of an upstream; `born_ms` is its start, wall clock, 0 if unknown."""
 
     instance: str
     born_ms: int = 0
 
     def is_same(self, other: UpstreamIncarnation) -> bool:
-        """Return whether both are one life, as far as they tell: a word may lack the start."""
+        """Return whether both may be the same incarnation; an unknown start matches any."""
         if self.instance != other.instance:
             return False
         return self.born_ms == other.born_ms or not self.born_ms or not other.born_ms
 
     def is_before(self, other: UpstreamIncarnation) -> bool:
-        """Return whether both tell their start, and this one was first."""
+        """Return whether both starts are known and this one is earlier."""
         return 0 < self.born_ms < other.born_ms
 
 
 def incarnation_of(announced: Announced) -> UpstreamIncarnation:
-    """Return the life that says this of itself."""
+    """Return the incarnation that sent this announcement."""
     return UpstreamIncarnation(announced["instance"], announced["born_ms"])
 
 
 def incarnations_from_rows(rows: Iterable[EndedLife]) -> list[UpstreamIncarnation]:
-    """Return ended lives as a message has them."""
+    """Return the ended incarnations of a message's rows."""
     return [UpstreamIncarnation(row["instance"], row["born_ms"]) for row in rows]
 
 
 class EndedIncarnations:
-    """Lives that have ended: of each name all that started until the last one that is known.
+    """The incarnations that have ended; for each name one start time is kept.
 
-    One that ends under a name ends those before it, so one start for a name says it all.
+    The end of an incarnation implies the end of all earlier ones of the same name.
     """
 
-    def __init__(self, lives: Iterable[UpstreamIncarnation] = ()) -> None:
-        self._until: dict[str, int] = {}
-        for life in lives:
-            self.add(life)
+    def __init__(self, ended: Iterable[UpstreamIncarnation] = ()) -> None:
+        self._last_start_ms: dict[str, int] = {}
+        for incarnation in ended:
+            self.add(incarnation)
 
-    def __contains__(self, life: UpstreamIncarnation) -> bool:
-        """Return whether this life has ended; one without a start has if any of its name has."""
-        until = self._until.get(life.instance)
-        return until is not None and life.born_ms <= until
+    def __contains__(self, incarnation: UpstreamIncarnation) -> bool:
+        """Return whether it has ended; with an unknown start, whether any of its name has."""
+        last_start_ms = self._last_start_ms.get(incarnation.instance)
+        return last_start_ms is not None and incarnation.born_ms <= last_start_ms
 
-    def add(self, life: UpstreamIncarnation) -> bool:
-        """Take in that a life has ended; returns whether that is news."""
-        if life in self and self._until[life.instance] >= life.born_ms:
+    def add(self, incarnation: UpstreamIncarnation) -> bool:
+        """Record that an incarnation has ended; return whether this was unknown.
+
+        The name recorded first is dropped if there are too many.
+        """
+        if incarnation in self and self._last_start_ms[incarnation.instance] >= incarnation.born_ms:
             return False
-        self._until[life.instance] = life.born_ms
-        while len(self._until) > ENDED_KEPT:
-            del self._until[next(iter(self._until))]
+        self._last_start_ms[incarnation.instance] = incarnation.born_ms
+        while len(self._last_start_ms) > MAX_ENDED_NAMES:
+            del self._last_start_ms[next(iter(self._last_start_ms))]
         return True
 
     def incarnations(self) -> tuple[UpstreamIncarnation, ...]:
-        """Return the last ended life of each name, the name noted first in front."""
-        return tuple(UpstreamIncarnation(name, until) for name, until in self._until.items())
+        """Return the last ended incarnation of each name, in the order the names were recorded."""
+        return tuple(
+            UpstreamIncarnation(name, last_start_ms)
+            for name, last_start_ms in self._last_start_ms.items()
+        )
 
     def rows(self) -> list[EndedLife]:
-        """Return them as messages have them."""
-        return [{"instance": name, "born_ms": until} for name, until in self._until.items()]
+        """Return the ended incarnations as rows of a message."""
+        return [
+            {"instance": name, "born_ms": last_start_ms}
+            for name, last_start_ms in self._last_start_ms.items()
+        ]
--- a/foldhoist/membership/neighbours.py
+++ b/foldhoist/membership/neighbours.py
@@ -1,9 +1,9 @@
-"""Whom a daemon keeps connections to, and which upstreams it tracks; no I/O.
+"""Selects the peers that a daemon connects to and the upstreams that it tracks; no I/O.
 
-All daemons of its own data centre; of the others some upstreams of each service, and some daemons
-that pass news on there. The state of a daemon grows with its data centre and with the number of
-services, not with the fleet. Of one service the picks of daemons differ, so that each upstream has
-about as many ingresses as any other.
+A daemon connects to every daemon of its own data centre. In other data centres it connects to some
+upstreams of each service and to some relays. Its state grows with its data centre and the number of
+services, not with the fleet. Daemons select different upstreams of a service, so that each upstream
+has about the same number of ingresses.
 """
 
 from __future__ import annotations
@@ -18,24 +18,25 @@
     from collections.abc import Callable
 
 MAX_LOCAL = 18
-"""Upstreams of one service in the own data centre that a daemon tracks, at most."""
+"""Maximum number of upstreams of one service tracked in the own data centre."""
 MIN_REMOTE = 6
-"""Upstreams of one service in other data centres that it tracks, if there are that many."""
+"""Minimum number of upstreams of one service tracked in other data centres, if they exist."""
 MIN_TRACKED = 16
-"""With fewer upstreams of a service near, so many more far ones are tracked."""
+"""Upstreams of one service tracked in total; missing local ones are replaced by remote ones."""
 RELAYS_PER_DATA_CENTRE = 2
-"""Daemons of each other data centre to which a daemon gives its news, and which pass it on there.
+"""Daemons of each other data centre that forward membership updates there.
 
-With one, a relay that is lost at that moment would keep its data centre from the news.
+There are two, so that updates still arrive when one is lost.
 """
 SCAN_FACTOR = 2
-"""Places on a ring that are looked at for each upstream wanted: those that are away, or have no
-upstream just now, stay connected or are tried again, and others are taken beside them.
+"""Ring entries examined for each upstream wanted.
+
+Unusable peers stay selected, so that they are retried, and further ones are selected beside them.
 """
 
 
 class Neighbours:
-    """The other daemons by data centre and by service, each on a ring."""
+    """The other daemons by data centre and by service, each on a hash ring."""
 
     def __init__(self, name: str, data_centre: str) -> None:
         self._name = name
@@ -45,20 +46,20 @@
         self._remote: dict[str, HashRing] = defaultdict(HashRing)
 
     def add(self, name: str, data_centre: str, service: str) -> None:
-        """Take in a daemon; with an empty service it has no upstream that is known."""
+        """Add a daemon; an empty service means that no upstream of it is known."""
         self._by_data_centre[data_centre].add(name)
         if service:
             self._rings_for(data_centre)[service].add(name)
 
     def discard(self, name: str, data_centre: str, service: str) -> None:
-        """Take a daemon out; data centre and service are those it was taken in with."""
+        """Remove a daemon; data centre and service must be those it was added with."""
         _discard(self._by_data_centre, data_centre, name)
         if service:
             _discard(self._rings_for(data_centre), service, name)
 
     @property
     def services(self) -> set[str]:
-        """Return the services that any daemon has an upstream of."""
+        """Return the services that have an upstream at any other daemon."""
         return {*self._local, *self._remote}
 
     def local_daemons(self) -> list[str]:
@@ -67,7 +68,7 @@
         return list(own) if own is not None else []
 
     def relays(self) -> set[str]:
-        """Return the daemons of other data centres that are given news to pass on there."""
+        """Return the daemons of other data centres that forward membership updates there."""
         found: set[str] = set()
         for data_centre, ring in self._by_data_centre.items():
             if data_centre != self._data_centre:
@@ -76,30 +77,30 @@
 
     def local(self, service: str, is_usable: Callable[[str], bool]) -> list[str]:
         """Return the daemons of the own data centre to track for a service."""
-        return _first(self._local.get(service), self._name, MAX_LOCAL, is_usable)
+        return _take_usable(self._local.get(service), self._name, MAX_LOCAL, is_usable)
 
     def remote(self, service: str, is_usable: Callable[[str], bool]) -> list[str]:
-        """Return the daemons elsewhere to connect to and to track for a service."""
+        """Return the daemons of other data centres to connect to and to track for a service."""
         ring = self._local.get(service)
-        near = min(MAX_LOCAL, len(ring)) if ring is not None else 0
-        return _first(
-            self._remote.get(service), self._name, max(MIN_REMOTE, MIN_TRACKED - near), is_usable
+        local = min(MAX_LOCAL, len(ring)) if ring is not None else 0
+        return _take_usable(
+            self._remote.get(service), self._name, max(MIN_REMOTE, MIN_TRACKED - local), is_usable
         )
 
     def _rings_for(self, data_centre: str) -> dict[str, HashRing]:
         return self._local if data_centre == self._data_centre else self._remote
 
 
-def _first(
-    ring: HashRing | None, name: str, most: int, is_usable: Callable[[str], bool]
+def _take_usable(
+    ring: HashRing | None, name: str, limit: int, is_usable: Callable[[str], bool]
 ) -> list[str]:
-    """Return the names behind this one with `most` usable ones, and those passed over."""
+    """Return names after this one up to `limit` usable ones, with the unusable between them."""
     found: list[str] = []
     if ring is None:
         return found
     usable = 0
     for other in ring.after(name):
-        if usable == most or len(found) == SCAN_FACTOR * most:
+        if usable == limit or len(found) == SCAN_FACTOR * limit:
             break
         found.append(other)
         usable += is_usable(other)
--- a/foldhoist/membership/registry.py
+++ b/foldhoist/membership/registry.py
@@ -1,8 +1,8 @@
-"""The daemons that one daemon knows, and the upstreams beside them; no I/O.
+"""Registry of the daemons that one daemon knows, and of their upstreams; no I/O.
 
-Membership is learned from records in the platform's store, which tell where daemons listen, and
-from what daemons tell each other on their connections, which goes first. Who is alive is a matter
-of connections, not of this list.
+Membership comes from records in the platform's store, which hold the addresses of daemons, and from
+reports that daemons send on their connections, which take precedence. Liveness is determined by
+connections, not by this list.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 
     from foldhoist.schema.messages import Announced, EndedLife, Member, Row, Suspect
 
-SILENT_S = 60.0
-"""A peer that could not be reached for this long is forgotten, seconds."""
-AWAY_S = 1.0
-"""A peer that could not be reached for this long is not counted on, seconds.
+FORGET_AFTER_S = 60.0
+"""A peer that could not be reached for this long is removed, seconds."""
+UNREACHABLE_AFTER_S = 1.0
+"""Another peer is selected beside one that could not be reached for this long, seconds.
 
-About what a process that is started again takes until it listens.
+It is about the time in which a restarted process listens again.
 """
 
 
 class QuarantinedCall(NamedTuple):
-    """A call that is refused since upstreams have ended under it, as the store keeps it.
+    """A quarantined call, after which upstreams crashed, as the store keeps it.
 
-    `at_ms` is when the last of these crashes was, milliseconds of wall clock.
+    `at_ms` is the time of the last crash, wall clock in milliseconds.
     """
 
     call: str
@@ -46,7 +46,7 @@
 
 
 class Registration(NamedTuple):
-    """Where a daemon listens, as the platform's store keeps it; `service` is of its upstream."""
+    """Record of a daemon in the platform's store; `frames` is the address that it listens on."""
 
     name: str
     incarnation: str
@@ -58,18 +58,18 @@
 
     @property
     def has_address(self) -> bool:
-        """Return whether a connection may be opened where it says that it listens."""
+        """Return whether `frames` is a host and a valid port."""
         host, _, port = self.frames.rpartition(":")
         is_port = port.isascii() and port.isdigit() and 0 < int(port[:6]) < 65536
         return bool(host) and is_port
 
     def as_bytes(self) -> bytes:
-        """Return how the store keeps it."""
+        """Return the record as the store keeps it, JSON."""
         return msgspec.json.encode(self)
 
 
 def registration_of(name: str, value: bytes) -> Registration | None:
-    """Return what is kept under a daemon's name, or None if it names none: others write, too."""
+    """Return the record stored under a daemon's name, or None if it is invalid for that name."""
     try:
         found = _REGISTRATIONS.decode(value)
     except (msgspec.MsgspecError, UnicodeDecodeError):
@@ -81,32 +81,32 @@
 
 
 def quarantined_call(suspect: Suspect, wall_ms: int) -> QuarantinedCall:
-    """Return how the store keeps a call that is refused."""
+    """Return a quarantined call as the store keeps it."""
     crashes = set(suspect["crashes"]) - set(suspect["refuted"])
     return QuarantinedCall(suspect["call"], tuple(sorted(crashes)), wall_ms - suspect["age_ms"])
 
 
 def suspect_of(held: QuarantinedCall, wall_ms: int) -> Suspect:
-    """Return what the store says of a call that is refused; a clock set back makes it new."""
+    """Return a stored quarantined call as a message row; its age is at least 0."""
     age_ms = max(0, wall_ms - held.at_ms)
     return {"call": held.call, "crashes": list(held.crashes), "refuted": [], "age_ms": age_ms}
 
 
 class Connect(NamedTuple):
-    """A peer listens here."""
+    """A connection to this peer may be opened at the address `frames`."""
 
     name: str
     frames: str
 
 
 class Disconnect(NamedTuple):
-    """A peer is gone, or its address is another's now."""
+    """A peer is removed, or its address now belongs to another one."""
 
     name: str
 
 
 class UpstreamChanged(NamedTuple):
-    """The upstream of this peer is another one than before."""
+    """The upstream of this peer has changed."""
 
     name: str
 
@@ -117,46 +117,47 @@
 class Peer:
     """Another daemon.
 
-    `upstream` is None until it has told of it; `service` is the last that is known of. `earlier`
-    says that an earlier life of it was known here, by more than others' word. `missing_since` is
-    when a connection to it was wanted or fell; None while it stands or none is wanted. `telling` is
-    the number of its last word.
+    `upstream` is None until the peer has reported it; `service` is the last one known. `relayed`
+    marks a peer known only from other daemons. `had_earlier_incarnation` is set once an earlier
+    incarnation was known from its own report or the store. `missing_since` is when a wanted
+    connection was found missing; None while it is up or not wanted. `report_number` is the number
+    of its last report.
     """
 
     __slots__ = (
         "data_centre",
-        "earlier",
         "ended",
         "frames",
-        "heard_at",
-        "hearsay",
+        "had_earlier_incarnation",
         "incarnation",
+        "last_contact_at",
         "missing_since",
         "name",
+        "relayed",
+        "report_number",
         "service",
-        "telling",
         "upstream",
     )
 
-    def __init__(self, known: Registration, now: float, *, hearsay: bool = False) -> None:
+    def __init__(self, known: Registration, now: float, *, relayed: bool = False) -> None:
         self.name = known.name
         self.incarnation = known.incarnation
         self.frames = known.frames
         self.data_centre = known.data_centre
         self.service = known.service
-        self.hearsay = hearsay
+        self.relayed = relayed
         self.ended = EndedIncarnations(known.ended)
         self.upstream: Announced | None = None
-        self.earlier = False
-        self.telling = 0
-        self.heard_at = now
+        self.had_earlier_incarnation = False
+        self.report_number = 0
+        self.last_contact_at = now
         self.missing_since: float | None = None
 
 
 class Registry:
-    """All peers of a daemon; `now` is in seconds, monotonic.
+    """All peers of a daemon; `now` is monotonic time in seconds.
 
-    `keepers` are hosts that keep quotas: all are connected with these.
+    Every daemon connects to the hosts in `quota_servers`.
     """
 
     def __init__(self, name: str, data_centre: str) -> None:
@@ -165,14 +166,14 @@
         self.peers: dict[str, Peer] = {}
         self.neighbours = Neighbours(name, data_centre)
         self.quota_servers: frozenset[str] = frozenset()
-        self._at: dict[str, str] = {}
+        self._by_address: dict[str, str] = {}
 
     def add_records(
-        self, now: float, records: Iterable[Registration], *, hearsay: bool = False
+        self, now: float, records: Iterable[Registration], *, relayed: bool = False
     ) -> list[Action]:
-        """Take in records of the store; what a peer itself has told is not replaced.
+        """Add records of the store; they do not replace what a peer itself has reported.
 
-        `hearsay` marks what other daemons have passed on: they need not know of lives that ended.
+        `relayed` marks records received from other daemons, which lack ended incarnations.
         """
         actions: list[Action] = []
         for record in records:
@@ -182,15 +183,15 @@
             if peer is not None and peer.upstream is not None:
                 continue
             if peer is not None and peer.frames == record.frames:
-                self._serves(peer, record.service or peer.service)
+                self._set_service(peer, record.service or peer.service)
                 continue
-            if self._has_told(record.frames):
+            if self._is_address_reported(record.frames):
                 continue
-            actions += self._place(now, Peer(record, now, hearsay=hearsay))
+            actions += self._insert(now, Peer(record, now, relayed=relayed))
         return actions
 
     def add_relayed(self, now: float, rows: Iterable[Row]) -> list[Action]:
-        """Take in what others know of daemons."""
+        """Add what other daemons know of daemons."""
         records = [
             Registration(
                 row["name"],
@@ -202,10 +203,10 @@
             )
             for row in rows
         ]
-        return self.add_records(now, records, hearsay=True)
+        return self.add_records(now, records, relayed=True)
 
     def update_member(self, now: float, member: Member) -> list[Action]:
-        """Take in what a peer tells of itself on a connection of its own."""
+        """Update a peer from its own report, received on a connection with it."""
         name = member["name"]
         if name == self.name:
             return []
@@ -213,34 +214,34 @@
         actions: list[Action] = []
         peer = self.peers.get(name)
         if peer is None or peer.frames != known.frames or peer.data_centre != known.data_centre:
-            actions += self._place(now, Peer(known, now))
+            actions += self._insert(now, Peer(known, now))
             peer = self.peers[name]
-        if peer.incarnation != known.incarnation and not peer.hearsay:
-            peer.earlier = True
-        for life in incarnations_from_rows(member["ended"]):
-            peer.ended.add(life)
-        peer.heard_at = now
-        if peer.incarnation == known.incarnation and member["telling"] < peer.telling:
-            # Two connections join two daemons; what one brings late is older than what is known.
+        if peer.incarnation != known.incarnation and not peer.relayed:
+            peer.had_earlier_incarnation = True
+        for incarnation in incarnations_from_rows(member["ended"]):
+            peer.ended.add(incarnation)
+        peer.last_contact_at = now
+        if peer.incarnation == known.incarnation and member["telling"] < peer.report_number:
+            # Two connections join two daemons, so that a report may arrive after a newer one.
             return actions
-        peer.telling = member["telling"]
+        peer.report_number = member["telling"]
         before = _identity(peer.upstream)
         peer.incarnation = known.incarnation
-        peer.hearsay = False
+        peer.relayed = False
         peer.upstream = member["upstream"]
-        self._serves(peer, member["upstream"]["service"])
+        self._set_service(peer, member["upstream"]["service"])
         if _identity(peer.upstream) != before:
             actions.append(UpstreamChanged(name))
         return actions
 
     def record_contact(self, now: float, name: str) -> None:
-        """Take in a sign of life of a peer."""
+        """Record that a message of a peer has arrived."""
         peer = self.peers.get(name)
         if peer is not None:
-            peer.heard_at = now
+            peer.last_contact_at = now
 
     def set_connected(self, now: float, name: str, up: bool) -> None:
-        """Take in that a connection to a peer stands, or is wanted and does not."""
+        """Record that the connection to a peer is up, or is wanted and down."""
         peer = self.peers.get(name)
         if peer is None:
             return
@@ -250,35 +251,35 @@
             peer.missing_since = now
 
     def stop_connecting(self, now: float, name: str) -> None:
-        """Take in that no connection to a peer is wanted any more: nothing new is heard of it."""
+        """Record that no connection to a peer is wanted; its upstream is then unknown."""
         peer = self.peers.get(name)
         if peer is not None:
             peer.missing_since = None
             peer.upstream = None
-            peer.heard_at = now
+            peer.last_contact_at = now
 
     def expire(self, now: float, connected: set[str]) -> list[Action]:
-        """Forget peers to which a connection is wanted and could not be made for long."""
+        """Remove the peers to which a wanted connection has been down for too long."""
         actions: list[Action] = []
         for name, peer in list(self.peers.items()):
             if name in connected or peer.missing_since is None:
-                peer.heard_at = now
+                peer.last_contact_at = now
                 continue
-            if now - peer.heard_at > SILENT_S:
+            if now - peer.last_contact_at > FORGET_AFTER_S:
                 self._remove(peer)
                 actions += [Disconnect(name), UpstreamChanged(name)]
         return actions
 
     def ended_incarnations(self, name: str) -> list[EndedLife] | None:
-        """Return the ended lives of a peer's upstreams for its present life.
+        """Return the ended incarnations of a peer's upstream, as rows of a message.
 
-        None if no earlier life of it was known here.
+        None if no earlier incarnation of the peer was known here.
         """
         peer = self.peers.get(name)
-        return peer.ended.rows() if peer is not None and peer.earlier else None
+        return peer.ended.rows() if peer is not None and peer.had_earlier_incarnation else None
 
     def rows(self) -> list[Row]:
-        """Return what is known of every peer, to be passed on."""
+        """Return what is known of every peer, to be forwarded."""
         return [
             {
                 "name": peer.name,
@@ -305,13 +306,13 @@
             return self._is_usable(now, name)
 
         found: dict[str, list[Tracked]] = {}
-        if own is not None and _stands(own):
+        if own is not None and _is_present(own):
             found[own["service"]] = [Tracked(self.name, self.data_centre, own["slots"])]
         for service in self.neighbours.services:
             near = self.neighbours.local(service, is_usable)
             for name in near + self.neighbours.remote(service, is_usable):
                 peer = self.peers[name]
-                if peer.upstream is None or not _stands(peer.upstream):
+                if peer.upstream is None or not _is_present(peer.upstream):
                     continue
                 tracked = Tracked(name, peer.data_centre, peer.upstream["slots"])
                 found.setdefault(service, []).append(tracked)
@@ -320,33 +321,33 @@
     # Steps
 
     def _is_usable(self, now: float, name: str) -> bool:
-        """Return whether a peer may take calls now, or soon, as far as is known."""
+        """Return whether a peer can take calls now or soon, as far as is known."""
         peer = self.peers[name]
-        if peer.missing_since is not None and now - peer.missing_since > AWAY_S:
+        if peer.missing_since is not None and now - peer.missing_since > UNREACHABLE_AFTER_S:
             return False
         upstream = peer.upstream
         if upstream is None or not upstream["instance"]:
             return True
         return upstream["state"] == "ready"
 
-    def _has_told(self, frames: str) -> bool:
-        """Return whether a peer has told that this address is its own: a record of it is older."""
-        name = self._at.get(frames)
+    def _is_address_reported(self, frames: str) -> bool:
+        """Return whether the peer at this address has reported itself; that outranks records."""
+        name = self._by_address.get(frames)
         return name is not None and self.peers[name].upstream is not None
 
-    def _place(self, now: float, peer: Peer) -> list[Action]:
+    def _insert(self, now: float, peer: Peer) -> list[Action]:
         actions: list[Action] = []
-        holder = self._at.get(peer.frames)
-        if holder is not None and holder != peer.name:
-            self._remove(self.peers[holder])
-            actions += [Disconnect(holder), UpstreamChanged(holder)]
+        current_holder = self._by_address.get(peer.frames)
+        if current_holder is not None and current_holder != peer.name:
+            self._remove(self.peers[current_holder])
+            actions += [Disconnect(current_holder), UpstreamChanged(current_holder)]
         before = self.peers.get(peer.name)
         if before is not None:
             peer.ended = EndedIncarnations(
                 (*before.ended.incarnations(), *peer.ended.incarnations())
             )
-            is_other_life = before.incarnation != peer.incarnation and not before.hearsay
-            peer.earlier = before.earlier or is_other_life
+            is_other_incarnation = before.incarnation != peer.incarnation and not before.relayed
+            peer.had_earlier_incarnation = before.had_earlier_incarnation or is_other_incarnation
             peer.service = peer.service or before.service
             actions.append(UpstreamChanged(peer.name))
             self._remove(before)
@@ -355,17 +356,17 @@
         return actions
 
     def add(self, peer: Peer) -> None:
-        """Put a peer on the list; nobody else is at its address."""
+        """Add a peer; no other peer may have its address."""
         self.peers[peer.name] = peer
-        self._at[peer.frames] = peer.name
+        self._by_address[peer.frames] = peer.name
         self.neighbours.add(peer.name, peer.data_centre, peer.service)
 
     def _remove(self, peer: Peer) -> None:
         del self.peers[peer.name]
-        del self._at[peer.frames]
+        del self._by_address[peer.frames]
         self.neighbours.discard(peer.name, peer.data_centre, peer.service)
 
-    def _serves(self, peer: Peer, service: str) -> None:
+    def _set_service(self, peer: Peer, service: str) -> None:
         if service == peer.service:
             return
         self.neighbours.discard(peer.name, peer.data_centre, peer.service)
@@ -380,5 +381,5 @@
     return incarnation_of(upstream), upstream["service"], upstream["slots"], gone
 
 
-def _stands(upstream: Announced) -> bool:
+def _is_present(upstream: Announced) -> bool:
     return upstream["state"] != "gone" and bool(upstream["instance"])
--- a/foldhoist/membership/startup_barrier.py
+++ b/foldhoist/membership/startup_barrier.py
@@ -1,7 +1,7 @@
-"""When a daemon's new life has heard enough of its earlier ones to serve its upstream; no I/O.
+"""Delays a restarted daemon's calls until the departures it acknowledged are known; no I/O.
 
-An earlier life may have acknowledged that the upstream leaves. The store or a peer has noted that,
-not always both: so both are heard before any call goes to the upstream.
+An earlier incarnation of the daemon may have acknowledged that its upstream leaves. The store or a
+peer has recorded that, but not always both, so both are consulted first.
 """
 
 from __future__ import annotations
@@ -13,40 +13,44 @@
 
 
 class StartupBarrier:
-    """What a new life has heard; the first life of a daemon has nothing to hear."""
+    """Tracks the answers that a restarted daemon waits for; a first incarnation waits for none."""
 
     def __init__(self, first: bool) -> None:
-        self._over = first
+        self._released = first
         self._peers: AbstractSet[str] | None = None
-        self._remembered = False
+        self._has_history = False
         self._answered: set[str] = set()
-        self._waited = False
+        self._wait_elapsed = False
 
     @property
     def done(self) -> bool:
-        """Return whether the upstream may be served."""
-        if self._over:
+        """Return whether calls may go to the upstream.
+
+        The store must have answered, and a peer with records of an earlier incarnation, every peer
+        that the store names, or the wait for peers must be over.
+        """
+        if self._released:
             return True
         if self._peers is None:
             return False
-        return self._remembered or self._waited or self._peers <= self._answered
+        return self._has_history or self._wait_elapsed or self._peers <= self._answered
 
     def store_answered(self, peers: AbstractSet[str]) -> None:
-        """Take in that the store told of this daemon, and which peers it names."""
+        """Record that the store has answered, and the peers that it names."""
         self._peers = peers
 
     def peer_remembered(self) -> None:
-        """Take in that a peer which knew an earlier life told what it knew."""
-        self._remembered = True
+        """Record an answer of a peer that knew an earlier incarnation of this daemon."""
+        self._has_history = True
 
     def peer_answered(self, name: str) -> None:
-        """Take in that a peer has answered, whether it knew an earlier life or not."""
+        """Record that a peer has answered, whether it knew an earlier incarnation or not."""
         self._answered.add(name)
 
     def wait_elapsed(self) -> None:
-        """Take in that every peer that can be reached had time to answer."""
-        self._waited = True
+        """Record that every reachable peer has had time to answer."""
+        self._wait_elapsed = True
 
     def give_up(self) -> None:
-        """Wait no longer."""
-        self._over = True
+        """Stop waiting; calls may go to the upstream."""
+        self._released = True
--- a/foldhoist/membership/upstream.py
+++ b/foldhoist/membership/upstream.py
@@ -1,8 +1,8 @@
-"""What the daemon knows of the upstream beside it, from what that announces; no I/O.
+"""State of the upstream beside this daemon, from its announcements; no I/O.
 
-Announcements may come late and out of order, also from a life of the upstream that has ended.
-A leaving that was acknowledged binds: that life gets no more calls, whatever it says later.
-`now` is in seconds, monotonic.
+Announcements may arrive late and out of order, also from an incarnation that has ended. Once a
+departure is acknowledged, that incarnation gets no more calls, whatever it announces later.
+`now` is monotonic time in seconds.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from foldhoist.membership.incarnations import (
-    ENDED_KEPT,
+    MAX_ENDED_NAMES,
     EndedIncarnations,
     UpstreamIncarnation,
     incarnation_of,
@@ -22,104 +22,110 @@
 
     from foldhoist.schema.messages import Announced
 
-RETURNS = 2
-"""Announcements by which a life that another one had replaced shows that it is there."""
+MIN_REPEATS = 2
+"""Announcements needed from a replaced or older incarnation to make it the current one."""
 SILENT_S = 5.0
-"""A life that started before the one known is heard once that has been silent so long, seconds.
+"""An older incarnation may become current if the known one was silent this long, seconds.
 
-Its host's clock was set back. Upstreams announce themselves about every 1.5 s where it is known.
+This handles a host whose clock was set back.
 """
-LATE_S = 5.0
-"""A word of the life before may come this long after another one has begun, seconds.
+REORDER_WINDOW_S = 5.0
+"""Time after a restart in which a departure without a start time is ambiguous, seconds.
 
-Words were seen to come some seconds late, and an upstream takes seconds to start again.
+It may be a late message of the previous incarnation.
 """
 
 
 class AnnouncementResult(Enum):
-    """What an announcement changed."""
+    """The effect of an announcement or a departure."""
 
     NOTHING = "nothing"
     STATE = "state"
     LEAVING = "leaving"
     UNSURE = "unsure"
-    """Nothing, since it may be of the life before; to be said again."""
+    """Ignored, as it may be of the previous incarnation; the upstream must repeat it."""
 
 
 class OwnUpstream:
-    """The upstream beside this daemon, and the lives of it that have ended."""
+    """The upstream beside this daemon, and its incarnations that have ended."""
 
     def __init__(self, ended: Iterable[UpstreamIncarnation] = ()) -> None:
         self.current: Announced | None = None
         self.ended = EndedIncarnations(ended)
         self._replaced: dict[UpstreamIncarnation, int] = {}
-        self._behind: dict[UpstreamIncarnation, int] = {}
-        self._heard_at = 0.0
-        self._again_at = float("-inf")
+        self._older: dict[UpstreamIncarnation, int] = {}
+        self._last_announced_at = 0.0
+        self._restarted_at = float("-inf")
 
     def apply_announcement(self, announced: Announced, now: float = 0.0) -> AnnouncementResult:
-        """Take in an announcement; a late one changes nothing."""
-        life = incarnation_of(announced)
+        """Apply an announcement; a late one changes nothing."""
+        incarnation = incarnation_of(announced)
         current = self.current
         known = incarnation_of(current) if current is not None else None
-        if life in self.ended:
+        if incarnation in self.ended:
             return AnnouncementResult.NOTHING
-        if current is not None and known is not None and life.is_same(known):
+        if current is not None and known is not None and incarnation.is_same(known):
             if announced["sequence"] <= current["sequence"]:
                 return AnnouncementResult.NOTHING
-            life = max(life, known)
-            if life.born_ms != announced["born_ms"]:
-                announced = {**announced, "born_ms": life.born_ms}
-        elif not self._may_replace(life, known, now):
+            incarnation = max(incarnation, known)
+            if incarnation.born_ms != announced["born_ms"]:
+                announced = {**announced, "born_ms": incarnation.born_ms}
+        elif not self._may_replace(incarnation, known, now):
             return AnnouncementResult.NOTHING
-        self._heard_at = now
+        self._last_announced_at = now
         if announced["state"] != "ready":
-            self.ended.add(life)
-            # A life that leaves before any other word of it was heard has ended the one known.
-            if known is None or life.is_same(known) or known.is_before(life):
+            self.ended.add(incarnation)
+            # A later incarnation that is first seen leaving has still replaced the known one.
+            if known is None or incarnation.is_same(known) or known.is_before(incarnation):
                 self.current = announced
             return AnnouncementResult.LEAVING
-        if known is not None and not life.is_same(known):
+        if known is not None and not incarnation.is_same(known):
             self._replaced[known] = 0
-            _bound(self._replaced)
-            if life.instance == known.instance:
-                self._again_at = now
+            _trim(self._replaced)
+            if incarnation.instance == known.instance:
+                self._restarted_at = now
         self.current = announced
         return (
-            AnnouncementResult.NOTHING if _alike(current, announced) else AnnouncementResult.STATE
+            AnnouncementResult.NOTHING
+            if _is_same_state(current, announced)
+            else AnnouncementResult.STATE
         )
 
     def apply_departure(
         self, instance: str, now: float, wall_ms: int, born_ms: int = 0
     ) -> AnnouncementResult:
-        """Take in that a life says that it is gone; `born_ms` is 0 if it names its id alone.
+        """Apply the departure of an incarnation; `born_ms` is 0 if the message has no start time.
 
-        It then is the life that is known, or any that has started until `wall_ms`, the wall clock.
+        It then refers to the known incarnation if the name matches, else to any that started up to
+        `wall_ms`, the wall clock in milliseconds.
         """
         known = incarnation_of(self.current) if self.current is not None else None
-        life = UpstreamIncarnation(instance, born_ms)
-        is_known = known is not None and life.is_same(known)
+        incarnation = UpstreamIncarnation(instance, born_ms)
+        is_known = known is not None and incarnation.is_same(known)
         if not born_ms:
-            if is_known and now - self._again_at < LATE_S:
+            if is_known and now - self._restarted_at < REORDER_WINDOW_S:
                 return AnnouncementResult.UNSURE
-            if not is_known and life in self.ended:
+            if not is_known and incarnation in self.ended:
                 return AnnouncementResult.NOTHING
-            life = (
+            incarnation = (
                 known if is_known and known is not None else UpstreamIncarnation(instance, wall_ms)
             )
-        if not self.ended.add(life):
+        if not self.ended.add(incarnation):
             return AnnouncementResult.NOTHING
-        if known is not None and life.is_before(known):
+        if known is not None and incarnation.is_before(known):
             return AnnouncementResult.NOTHING
         if self.current is not None and known is not None and known in self.ended:
             self.current = {**self.current, "state": "gone"}
         return AnnouncementResult.LEAVING
 
     def add_ended(self, ended: Iterable[UpstreamIncarnation]) -> bool:
-        """Take in lives that an earlier life of this daemon acknowledged; whether one was new."""
-        fresh = [life for life in ended if self.ended.add(life)]
+        """Add departures acknowledged by an earlier incarnation of this daemon.
+
+        Return whether the current upstream was ready and is leaving now.
+        """
+        added = [incarnation for incarnation in ended if self.ended.add(incarnation)]
         current = self.current
-        if not fresh or current is None or incarnation_of(current) not in self.ended:
+        if not added or current is None or incarnation_of(current) not in self.ended:
             return False
         if current["state"] != "ready":
             return False
@@ -127,35 +133,35 @@
         return True
 
     def _may_replace(
-        self, life: UpstreamIncarnation, known: UpstreamIncarnation | None, now: float
+        self, incarnation: UpstreamIncarnation, known: UpstreamIncarnation | None, now: float
     ) -> bool:
-        if known is not None and life.is_before(known):
-            return self._is_known_silent(life, now)
-        if life not in self._replaced:
+        if known is not None and incarnation.is_before(known):
+            return self._is_known_silent(incarnation, now)
+        if incarnation not in self._replaced:
             return True
-        self._replaced[life] += 1
-        if self._replaced[life] < RETURNS:
+        self._replaced[incarnation] += 1
+        if self._replaced[incarnation] < MIN_REPEATS:
             return False
-        del self._replaced[life]
+        del self._replaced[incarnation]
         return True
 
-    def _is_known_silent(self, life: UpstreamIncarnation, now: float) -> bool:
-        """Return whether a life that started first is there, and the one known is not."""
-        self._behind[life] = self._behind.get(life, 0) + 1
-        _bound(self._behind)
-        if self._behind[life] < RETURNS or now - self._heard_at < SILENT_S:
+    def _is_known_silent(self, incarnation: UpstreamIncarnation, now: float) -> bool:
+        """Return whether an older incarnation announces itself while the known one is silent."""
+        self._older[incarnation] = self._older.get(incarnation, 0) + 1
+        _trim(self._older)
+        if self._older[incarnation] < MIN_REPEATS or now - self._last_announced_at < SILENT_S:
             return False
-        self._behind.clear()
+        self._older.clear()
         return True
 
 
-def _bound(words: dict[UpstreamIncarnation, int]) -> None:
-    """Forget the life noted first where there are too many: others may write here, too."""
-    if len(words) > ENDED_KEPT:
-        del words[next(iter(words))]
+def _trim(counts: dict[UpstreamIncarnation, int]) -> None:
+    """Drop the oldest entry if there are too many, as any process may send announcements."""
+    if len(counts) > MAX_ENDED_NAMES:
+        del counts[next(iter(counts))]
 
 
-def _alike(before: Announced | None, after: Announced) -> bool:
+def _is_same_state(before: Announced | None, after: Announced) -> bool:
     if before is None or not incarnation_of(before).is_same(incarnation_of(after)):
         return False
     keys = ("service", "slots", "state")
--- a/foldhoist/membership/view.py
+++ b/foldhoist/membership/view.py
@@ -1,4 +1,4 @@
-"""Which upstreams one daemon tracks: a bounded number, its own data centre first."""
+"""Selects the upstreams that a daemon tracks by the fleet file, a bounded number per service."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from foldhoist.schema.fleet import Fleet
 
-REMOTE_SHARE = 4
-"""One in this many tracked upstreams is of another data centre, so that a lost one leaves some."""
+REMOTE_DIVISOR = 4
+"""One in this many tracked upstreams is in another data centre, in case the own one is lost."""
 
 
 def tracked(fleet: Fleet, name: str, data_centre: str) -> dict[str, list[Member]]:
@@ -27,15 +27,15 @@
         }
         near = [each for each in serving if serving[each]["data_centre"] == data_centre]
         far = [each for each in serving if serving[each]["data_centre"] != data_centre]
-        picked = _bounded(ranked(near, name), ranked(far, name), cfg["track"])
+        selected = _limit(ranked(near, name), ranked(far, name), cfg["track"])
         chosen[service] = [
-            Member(each, serving[each]["data_centre"], serving[each]["slots"]) for each in picked
+            Member(each, serving[each]["data_centre"], serving[each]["slots"]) for each in selected
         ]
     return chosen
 
 
 def homes(fleet: Fleet) -> dict[str, tuple[str, ...]]:
-    """Return the homes of idempotency keys, by service."""
+    """Return the targets that may be homes of idempotency keys, by service."""
     by_service = group_targets(fleet)
     found: dict[str, tuple[str, ...]] = {}
     for service in fleet["services"]:
@@ -44,9 +44,9 @@
     return found
 
 
-def _bounded(near: list[str], far: list[str], most: int) -> list[str]:
-    if len(near) + len(far) <= most:
+def _limit(near: list[str], far: list[str], limit: int) -> list[str]:
+    if len(near) + len(far) <= limit:
         return near + far
-    remote = min(len(far), max(1, most // REMOTE_SHARE))
-    local = min(len(near), most - remote)
-    return near[:local] + far[: most - local]
+    remote = min(len(far), max(1, limit // REMOTE_DIVISOR))
+    local = min(len(near), limit - remote)
+    return near[:local] + far[: limit - local]
--- a/tests/unit/membership/test_registry.py
+++ b/tests/unit/membership/test_registry.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of its peers, from the store and from their own word."""
+"""Registry of peers, from the store and from their own reports."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from foldhoist.membership.incarnations import UpstreamIncarnation
 from foldhoist.membership.neighbours import MAX_LOCAL, MIN_REMOTE
 from foldhoist.membership.registry import (
-    SILENT_S,
+    FORGET_AFTER_S,
     Connect,
     Disconnect,
     Registration,
@@ -36,12 +36,12 @@
     name: str,
     frames: str,
     upstream: Announced | None = None,
-    life: str = "l1",
+    incarnation: str = "l1",
     telling: int = 1,
 ) -> Member:
     return {
         "name": name,
-        "incarnation": life,
+        "incarnation": incarnation,
         "telling": telling,
         "frames": frames,
         "data_centre": "one",
@@ -59,14 +59,14 @@
     assert registry.add_records(1.0, [Registration("me", "l", "me:1", "one")]) == []
 
 
-def test_a_peers_own_word_goes_before_an_older_record() -> None:
+def test_a_peers_own_report_outranks_an_older_record() -> None:
     registry = Registry("me", "one")
     registry.update_member(0.0, member("b", "b:2"))
     assert registry.add_records(1.0, [Registration("b", "l0", "b:1", "one")]) == []
     assert registry.peers["b"].frames == "b:2"
 
 
-def test_an_upstream_that_is_another_one_is_told() -> None:
+def test_a_changed_upstream_is_reported_once() -> None:
     registry = Registry("me", "one")
     assert UpstreamChanged("b") in registry.update_member(0.0, member("b", "b:1"))
     assert registry.update_member(0.1, member("b", "b:1")) == []
@@ -74,7 +74,7 @@
     assert changed == [UpstreamChanged("b")]
 
 
-def test_an_address_that_another_daemon_has_now_ends_the_former_peer() -> None:
+def test_a_peer_is_removed_when_another_daemon_takes_its_address() -> None:
     registry = Registry("me", "one")
     registry.update_member(0.0, member("b", "b:1"))
     actions = registry.update_member(1.0, member("c", "b:1"))
@@ -83,28 +83,28 @@
     assert set(registry.peers) == {"c"}
 
 
-def test_a_peer_that_cannot_be_reached_is_forgotten_only_after_long() -> None:
+def test_an_unreachable_peer_is_removed_after_the_timeout() -> None:
     registry = Registry("me", "one")
     registry.update_member(0.0, member("b", "b:1"))
-    assert registry.expire(SILENT_S + 1, set()) == [], "no connection to it was wanted"
+    assert registry.expire(FORGET_AFTER_S + 1, set()) == [], "no connection to it was wanted"
     registry.update_member(0.0, member("b", "b:1"))
     registry.set_connected(0.0, "b", up=False)
-    assert registry.expire(SILENT_S - 1, set()) == []
-    assert registry.expire(SILENT_S + 1, {"b"}) == []
-    assert Disconnect("b") in registry.expire(2 * SILENT_S + 2, set())
+    assert registry.expire(FORGET_AFTER_S - 1, set()) == []
+    assert registry.expire(FORGET_AFTER_S + 1, {"b"}) == []
+    assert Disconnect("b") in registry.expire(2 * FORGET_AFTER_S + 2, set())
 
 
-def test_ended_lives_are_remembered_for_the_next_life_of_a_peer() -> None:
+def test_ended_incarnations_are_kept_for_the_next_incarnation_of_a_peer() -> None:
     registry = Registry("me", "one")
     rows: list[EndedLife] = [{"instance": "i-1", "born_ms": 5}]
     registry.update_member(0.0, {**member("b", "b:1"), "ended": rows})
     assert registry.ended_incarnations("b") is None
-    registry.update_member(1.0, member("b", "b:1", life="l2"))
+    registry.update_member(1.0, member("b", "b:1", incarnation="l2"))
     assert registry.ended_incarnations("b") == rows
     assert registry.ended_incarnations("nobody") is None
 
 
-def test_only_upstreams_that_stand_are_tracked_the_own_one_too() -> None:
+def test_only_present_upstreams_are_tracked_including_the_own_one() -> None:
     registry = Registry("me", "one")
     registry.update_member(0.0, member("b", "b:1"))
     registry.update_member(0.0, member("c", "c:1", announced("i-2", "shop", "gone")))
@@ -113,27 +113,25 @@
     assert sorted(names) == ["b", "me"]
 
 
-def test_what_is_tracked_is_bounded_and_keeps_some_of_other_data_centres() -> None:
+def test_tracked_upstreams_are_bounded_and_some_are_remote() -> None:
     registry = Registry("me", "one")
     for number in range(100):
-        told = member(f"p{number}", f"p{number}:1")
-        told["data_centre"] = "one" if number % 2 else "two"
-        registry.update_member(0.0, told)
+        report = member(f"p{number}", f"p{number}:1")
+        report["data_centre"] = "one" if number % 2 else "two"
+        registry.update_member(0.0, report)
     tracked = registry.tracked(0.0, None)["shop"]
     assert len(tracked) == MAX_LOCAL + MIN_REMOTE
     assert 0 < sum(each.data_centre == "two" for each in tracked) < (MAX_LOCAL + MIN_REMOTE) / 2
 
 
-def test_a_record_of_a_lost_daemon_does_not_take_the_address_of_one_that_has_told_of_itself() -> (
-    None
-):
+def test_a_record_does_not_take_the_address_of_a_peer_that_has_reported_itself() -> None:
     registry = Registry("me", "one")
     registry.update_member(0.0, member("c", "b:1"))
     assert registry.add_records(1.0, [Registration("b", "l1", "b:1", "one")]) == []
     assert list(registry.peers) == ["c"]
 
 
-def test_of_two_records_with_one_address_the_one_that_answers_stays() -> None:
+def test_of_two_records_with_one_address_the_peer_that_reports_stays() -> None:
     registry = Registry("me", "one")
     records = [Registration("c", "l1", "b:1", "one"), Registration("lost", "l1", "b:1", "one")]
     registry.add_records(0.0, records)
@@ -142,11 +140,10 @@
     assert list(registry.peers) == ["c"]
 
 
-def test_a_word_that_comes_late_on_another_connection_changes_nothing() -> None:
-    """A daemon tells that it has no upstream yet, then its upstream; the first word comes last.
+def test_a_late_report_on_another_connection_does_not_change_the_upstream() -> None:
+    """Reports are not ordered between the two connections of a pair of daemons.
 
-    Two connections join two daemons, and nothing orders what both bring. The peer was then left out
-    until its upstream changed again.
+    Guards against an older report without an upstream that replaces a newer one with it.
     """
     registry = Registry("me", "one")
     registry.update_member(0.0, member("b", "b:1", announced(), telling=2))
