--- a/foldhoist/delivery/request_intake.py
+++ b/foldhoist/delivery/request_intake.py
@@ -8,7 +8,7 @@
 from foldhoist.delivery import rules
 from foldhoist.delivery.call import Call
 from foldhoist.delivery.verdict import NotRun
-from foldhoist.quarantine.table import HELD
+from foldhoist.quarantine.table import QUARANTINED
 from foldhoist.routing.routes import NO_RANK, RouteMatch, RouteTable
 
 if TYPE_CHECKING:
@@ -85,7 +85,7 @@
             return _rejected(now, call_id, req, routed, verdict)
         call = Call(call_id, req, routed, now, now + budget, who.customer)
         if quarantined_s := self._admission.quarantined_s(now, call):
-            return _rejected(now, call_id, req, routed, NotRun(HELD, quarantined_s))
+            return _rejected(now, call_id, req, routed, NotRun(QUARANTINED, quarantined_s))
         return AcceptedRequest(call)
 
     def _route(self, req: CallerRequest) -> RouteMatch | None:
--- a/tests/unit/admission/test_nested.py
+++ b/tests/unit/admission/test_nested.py
@@ -7,14 +7,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from foldhoist.admission.nested import KEPT_CALLS, LEAST_CALLS, ONE_SERVICE, CallersOfRoutes
+from foldhoist.admission.nested import (
+    HALVE_AFTER_CALLS,
+    MIN_CALLS,
+    SINGLE_CALLER_SHARE,
+    RouteCallers,
+)
 
 
-def learned(*calls: tuple[str, str, int]) -> CallersOfRoutes:
-    callers = CallersOfRoutes()
+def learned(*calls: tuple[str, str, int]) -> RouteCallers:
+    callers = RouteCallers()
     for route, caller, times in calls:
         for _ in range(times):
-            callers.learn(route, caller)
+            callers.record(route, caller)
     return callers
 
 
@@ -42,7 +47,7 @@
 def test_what_was_learned_gives_way_to_what_comes_now() -> None:
     callers = learned(("stock", "web", 1000), ("pledge", "web", 20), ("pledge", "pay", 20))
     for number in range(400):
-        callers.learn("stock", ("pay", "web")[number % 2])
+        callers.record("stock", ("pay", "web")[number % 2])
     assert not callers.is_nested("stock")
 
 
@@ -51,10 +56,12 @@
     shares: dict[str, float] = {}
     for name in {name for name, _ in calls}:
         counts = Counter(caller for of, caller in calls if of == name)
-        if counts.total() >= LEAST_CALLS:
+        if counts.total() >= MIN_CALLS:
             shares[name] = max(counts.values()) / counts.total()
     mine = shares.get(route, 0.0)
-    return mine >= ONE_SERVICE and any(share < ONE_SERVICE for share in shares.values())
+    return mine >= SINGLE_CALLER_SHARE and any(
+        share < SINGLE_CALLER_SHARE for share in shares.values()
+    )
 
 
 @given(
@@ -66,7 +73,7 @@
     runs: list[tuple[str, str, int]],
 ) -> None:
     calls = [(route, caller) for route, caller, times in runs for _ in range(times)]
-    assert len(calls) <= KEPT_CALLS
+    assert len(calls) <= HALVE_AFTER_CALLS
     callers = learned(*runs)
     for route in "rstx":
         assert callers.is_nested(route) == judged_anew(calls, route)
--- a/tests/unit/admission/test_shares.py
+++ b/tests/unit/admission/test_refusal_rates.py
@@ -5,32 +5,32 @@
 from typing import Any
 
 from foldhoist.admission.due import DueQueue
-from foldhoist.admission.shares import LEAST_DECISIONS, Shares
-from foldhoist.admission.slots import Refuse, Shape, Start
+from foldhoist.admission.refusal_rates import MIN_DECISIONS, RefusalRates
+from foldhoist.admission.slots import QueueLimits, Refuse, Start
 from foldhoist.delivery.dispatch import Ticket
 
 
 def test_a_rank_yields_while_a_more_urgent_one_is_refused_a_larger_share() -> None:
-    shares = Shares()
-    for number in range(int(LEAST_DECISIONS) + 5):
-        shares.decided(0.0, 1, refused=number % 2 == 0)
-        shares.decided(0.0, 2, refused=False)
-    assert shares.yields(0.0, 2)
-    assert not shares.yields(0.0, 1)
-    assert not shares.yields(0.0, 0)
+    rates = RefusalRates()
+    for number in range(int(MIN_DECISIONS) + 5):
+        rates.record(0.0, 1, refused=number % 2 == 0)
+        rates.record(0.0, 2, refused=False)
+    assert rates.is_low_priority(0.0, 2)
+    assert not rates.is_low_priority(0.0, 1)
+    assert not rates.is_low_priority(0.0, 0)
     for _ in range(20):
-        shares.decided(0.1, 2, refused=True)
-    assert not shares.yields(0.1, 2)
+        rates.record(0.1, 2, refused=True)
+    assert not rates.is_low_priority(0.1, 2)
 
 
 def test_few_decisions_and_old_ones_say_nothing() -> None:
-    shares = Shares()
-    shares.decided(0.0, 0, refused=True)
-    assert not shares.yields(0.0, 1)
+    rates = RefusalRates()
+    rates.record(0.0, 0, refused=True)
+    assert not rates.is_low_priority(0.0, 1)
     for _ in range(20):
-        shares.decided(0.0, 0, refused=True)
-    assert shares.yields(0.1, 1)
-    assert not shares.yields(30.0, 1)
+        rates.record(0.0, 0, refused=True)
+    assert rates.is_low_priority(0.1, 1)
+    assert not rates.is_low_priority(30.0, 1)
 
 
 def call(route: str, caller: str, rank: int, **fields: Any) -> Any:
@@ -46,18 +46,18 @@
 
 
 def test_a_nested_call_has_the_rank_of_what_it_is_a_part_of() -> None:
-    slots = DueQueue(Shape(4, 10, 0, 8))
+    slots = DueQueue(QueueLimits(4, 10, 0, 8))
     for number in range(40):
-        slots.wish_of(0.0, call("post", ("web", "pay")[number % 2], 1), 1.0, 2.5)
-        slots.wish_of(0.0, call("peek", "quotes", 1, parent_rank=2), 1.0, 2.5)
-    assert slots.wish_of(0.0, call("peek", "quotes", 1, parent_rank=2), 1.0, 2.5).rank == 2
-    assert slots.wish_of(0.0, call("peek", "quotes", 1), 1.0, 2.5).rank == 1
-    assert slots.wish_of(0.0, call("post", "web", 1, parent_rank=2), 1.0, 2.5).rank == 1
+        slots.queued_call(0.0, call("post", ("web", "pay")[number % 2], 1), 1.0, 2.5)
+        slots.queued_call(0.0, call("peek", "quotes", 1, parent_rank=2), 1.0, 2.5)
+    assert slots.queued_call(0.0, call("peek", "quotes", 1, parent_rank=2), 1.0, 2.5).rank == 2
+    assert slots.queued_call(0.0, call("peek", "quotes", 1), 1.0, 2.5).rank == 1
+    assert slots.queued_call(0.0, call("post", "web", 1, parent_rank=2), 1.0, 2.5).rank == 1
 
 
 def test_urgent_long_calls_are_refused_no_more_often_than_less_urgent_short_ones() -> None:
     """One slot; calls of rank 2 are due sooner and are short, those of rank 1 are the more."""
-    slots = DueQueue(Shape(1, 50, 0, 8))
+    slots = DueQueue(QueueLimits(1, 50, 0, 8))
     ranks: dict[int, int] = {}
     started: set[int] = set()
     free_at = 0.0
@@ -73,7 +73,7 @@
         ranks[step] = rank
         request = call("any", "", rank, due_ms=800 if rank == 1 else 300, expect_ms=80)
         start_by = Ticket("", request, now).start_by
-        decision = slots.submit(now, step, slots.wish_of(now, request, start_by, now + 2.5))
+        decision = slots.submit(now, step, slots.queued_call(now, request, start_by, now + 2.5))
         take([decision], started)
         if isinstance(decision, Start):
             free_at = now + 0.1
--- a/tests/unit/delivery/test_shed_guard.py
+++ b/tests/unit/delivery/test_shed_guard.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from foldhoist.admission.shedding import IN_A_ROW, Shedding
+from foldhoist.admission.shedding import REJECTIONS_IN_A_ROW, Shedding
 from foldhoist.delivery.dispatch import Complete, SendTo, Shed, StartCall
 from foldhoist.delivery.shed_guard import SHEDS_ALL
 from foldhoist.routing.picker import Choice, Member, NoChoice, Picker
@@ -142,22 +142,22 @@
     shedding = Shedding()
     for number in range(200):
         now = number / 10
-        assert shedding.takes(now)
-        if number % IN_A_ROW:
-            assert not shedding.turned_away(now)
+        assert shedding.admits(now)
+        if number % REJECTIONS_IN_A_ROW:
+            assert not shedding.record_rejection(now)
         else:
-            shedding.answered(now)
+            shedding.record_answer(now)
 
 
 def test_answer_to_a_call_started_before_shedding_began_is_ignored() -> None:
     shedding = Shedding()
-    for _ in range(IN_A_ROW):
-        shedding.turned_away(1.0)
-    assert shedding.all
-    assert not shedding.answered(0.5)
-    assert shedding.all
-    assert shedding.answered(1.1)
-    assert shedding.takes(1.1)
+    for _ in range(REJECTIONS_IN_A_ROW):
+        shedding.record_rejection(1.0)
+    assert shedding.sheds_all
+    assert not shedding.record_answer(0.5)
+    assert shedding.sheds_all
+    assert shedding.record_answer(1.1)
+    assert shedding.admits(1.1)
 
 
 def test_waiting_calls_are_refused_and_a_new_incarnation_starts_fresh() -> None:
@@ -167,7 +167,7 @@
     (first,) = tickets[0]
     assert isinstance(first, StartCall)
     actions: list[Any] = owner.finished(0.1, first.ticket, Shed(0.1))
-    for seq in range(5, 4 + IN_A_ROW):
+    for seq in range(5, 4 + REJECTIONS_IN_A_ROW):
         (start,) = [each for each in actions if isinstance(each, StartCall)]
         owner.dispatch(0.1, 0, 1, dispatch(seq))
         actions = owner.finished(0.1, start.ticket, Shed(0.1))
@@ -188,11 +188,11 @@
     for number in range(800):
         now = number / 50
         while running and running[0][0] <= now:
-            shedding.answered(running.pop(0)[1])
-        if not shedding.takes(now):
+            shedding.record_answer(running.pop(0)[1])
+        if not shedding.admits(now):
             refused += 1
         elif rng.random() < 0.55:
-            shedding.turned_away(now)
+            shedding.record_rejection(now)
         else:
             running.append((now + WORK_S, now))
     assert refused <= 20
