--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -10,10 +10,10 @@
 
 from loguru import logger
 
+from foldhoist.admission.body_memory import BodyMemory
 from foldhoist.admission.cold import ColdRate, Tolerance
 from foldhoist.admission.due import DueQueue
-from foldhoist.admission.held import HeldBytes
-from foldhoist.admission.slots import Shape
+from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import evacuated, limits_of
 from foldhoist.config.reread import LIMITS, reread
 from foldhoist.configlog.versions import ReaderElection
@@ -52,8 +52,8 @@
     from foldhoist.schema.messages import Hello, Member
     from foldhoist.schema.settings import Settings
 
-SHAPE_UNKNOWN = Shape(slots=1, queue=0, urgent_slots=0, urgent_run=8)
-"""Shape of the owner before its upstream has announced itself."""
+INITIAL_QUEUE_LIMITS = QueueLimits(slots=1, queue=0, urgent_slots=0, urgent_run=8)
+"""Queue limits of the owner before its upstream has announced itself."""
 RELOADABLE = LIMITS | {
     "[upstream] service",
     "[platform] retry_slack",
@@ -150,7 +150,7 @@
         self.adapter.reload(found.cfg)
         self.events.share = found.cfg["observe"]["log_share"]
         self.ingress_task.ingress.admission.max_calls = limits["calls"]
-        self._bodies.most = limits["held_bytes"]
+        self._bodies.limit = limits["held_bytes"]
         self._slack.attempts = platform["retry_slack"]
         self._slack.window_s = platform["retry_window_s"]
         self.quotas.keeper.slack = platform["quota_slack"]
@@ -204,13 +204,13 @@
         cfg = self.cfg
         self.messages = PeerMessages(self)
         service = cfg["upstream"]["service"]
-        queue = DueQueue(SHAPE_UNKNOWN)
-        self._bodies = HeldBytes(cfg["limits"]["held_bytes"])
+        queue = DueQueue(INITIAL_QUEUE_LIMITS)
+        self._bodies = BodyMemory(cfg["limits"]["held_bytes"])
         self.quarantine = Quarantine(self.incarnation)
         self.owner = Owner(
             self.name,
             service,
-            SHAPE_UNKNOWN,
+            INITIAL_QUEUE_LIMITS,
             KEY_WINDOW_S,
             queue,
             self._bodies,
--- a/foldhoist/delivery/ingress.py
+++ b/foldhoist/delivery/ingress.py
@@ -29,7 +29,7 @@
 from foldhoist.delivery.request_intake import UNAUTHORIZED, RejectedRequest, RequestIntake
 from foldhoist.delivery.services import RetrySlack, Services
 from foldhoist.delivery.verdict import Answered, MayHaveRun, NotRun, Response, Verdict
-from foldhoist.quarantine.table import HELD
+from foldhoist.quarantine.table import QUARANTINED
 from foldhoist.routing.picker import NO_CONNECTION, NoChoice, Picker
 
 if TYPE_CHECKING:
@@ -278,7 +278,7 @@
         if state is None:
             return self._give_up(now, call, "service-removed", 1.0)
         call.admitted = True
-        state.budget.call(now, call.req.repeat)
+        state.budget.record_call(now, call.req.repeat)
         actions = self._attempt(now, call)
         if hedge_s := rules.hedge_after_s(call, state):
             self._calls.schedule(now + hedge_s, call, Timer.HEDGE)
@@ -310,7 +310,7 @@
         if call.pending:
             return []
         if quarantined_s := self.admission.quarantined_s(now, call):
-            return self._give_up(now, call, HELD, quarantined_s)
+            return self._give_up(now, call, QUARANTINED, quarantined_s)
         if not rules.may_retry(now, call, self._services.get(call.service), self.count):
             return self._give_up(now, call, reason, retry_after_s)
         self.count.retried += 1
--- a/foldhoist/delivery/repeats.py
+++ b/foldhoist/delivery/repeats.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from foldhoist.admission.fading import FadingShare
+from foldhoist.admission.decaying_ratio import DecayingRatio
 
 DECAY_S = 1.0
 """Time after which a call's weight has decayed to 1/e, seconds.
@@ -19,7 +19,7 @@
     """
 
     def __init__(self) -> None:
-        self._started = FadingShare(0.0, DECAY_S)
+        self._started = DecayingRatio(0.0, DECAY_S)
 
     def started(self, now: float, repeat: float) -> None:
         """Count a started call; `repeat` is the probability that it is a repeat, 0 to 1."""
@@ -28,4 +28,4 @@
     @property
     def share(self) -> float:
         """Return the share of repeats, 0 to 1."""
-        return self._started.share
+        return self._started.ratio
--- a/foldhoist/delivery/services.py
+++ b/foldhoist/delivery/services.py
@@ -108,7 +108,7 @@
             for target in state.picker.tracks:
                 state.picker.linked(target, now, target in up, fresh=False)
             if self._slack is not None:
-                state.budget.bound(now, self._slack.part(daemons))
+                state.budget.set_slack(now, self._slack.part(daemons))
 
     def linked(self, now: float, target: str, up: bool, fresh: bool) -> None:
         """Record that an owner is connected or not; `fresh` marks a new incarnation."""
--- a/foldhoist/delivery/shed_guard.py
+++ b/foldhoist/delivery/shed_guard.py
@@ -32,22 +32,22 @@
 
     def refuses(self, now: float) -> bool:
         """Return whether a call that arrives now is refused; one that is not may be the trial."""
-        return not self._status.shedding.takes(now)
+        return not self._status.shedding.admits(now)
 
     def retry_after_s(self, now: float) -> float:
         """Return the time until the next trial call is allowed, seconds."""
-        return self._status.shedding.again_s(now)
+        return self._status.shedding.retry_after_s(now)
 
     def shed(self, now: float) -> list[Action]:
         """Count a call that the upstream shed; once it sheds all, refuse the waiting calls."""
-        if not self._status.shedding.turned_away(now):
+        if not self._status.shedding.record_rejection(now):
             return []
         return [*self._reports.to_all(), *self._waiting.refuse(self._tickets.ids(), SHEDS_ALL)]
 
     def answered(self, started: float) -> list[Action]:
         """Count a call, started at `started`, that the upstream has answered."""
-        return self._reports.to_all() if self._status.shedding.answered(started) else []
+        return self._reports.to_all() if self._status.shedding.record_answer(started) else []
 
     def tick(self, now: float) -> list[Action]:
         """Ask an ingress for a trial call if one is due."""
-        return self._reports.invite_trial(now) if self._status.shedding.invites(now) else []
+        return self._reports.invite_trial(now) if self._status.shedding.should_invite(now) else []
--- a/foldhoist/delivery/upstream_status.py
+++ b/foldhoist/delivery/upstream_status.py
@@ -143,7 +143,7 @@
         load: Load = {
             "busy": queue.busy,
             "queued": queue.queued,
-            "slots": queue.shape.slots,
+            "slots": queue.limits.slots,
             "service_us": int(queue.service_s * 1e6) if self._answered_any else 0,
             "errors": round(self.errors, 3),
             "state": self._reported_state(),  # type: ignore[typeddict-item]
@@ -157,6 +157,6 @@
     def _reported_state(self) -> str:
         if self.leaving:
             return "leaving"
-        if self.shedding.all and self.state != "down":
+        if self.shedding.sheds_all and self.state != "down":
             return "refusing"
         return "cold" if self.cold and self.state == "warm" else self.state
--- a/tests/unit/delivery/test_owner.py
+++ b/tests/unit/delivery/test_owner.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING, Any, cast
 
-from foldhoist.admission.held import HeldBytes
-from foldhoist.admission.slots import Shape
+from foldhoist.admission.body_memory import BodyMemory
+from foldhoist.admission.slots import QueueLimits
 from foldhoist.delivery import peers as peers_module
 from foldhoist.delivery.dispatch import (
     CancelCall,
@@ -22,7 +22,7 @@
 from foldhoist.delivery.load_reports import MAX_PACE_REPORTS
 from foldhoist.delivery.owner import Owner
 from foldhoist.delivery.upstream_status import PACE_KEPT_MS, REPLACED
-from foldhoist.quarantine.table import HELD
+from foldhoist.quarantine.table import QUARANTINED
 
 if TYPE_CHECKING:
     import pytest
@@ -34,7 +34,7 @@
 
 
 def make(slots: int = 2) -> Owner:
-    owner = Owner("depo-1", "depo", Shape(slots, 10, 0, 1), 600.0)
+    owner = Owner("depo-1", "depo", QueueLimits(slots, 10, 0, 1), 600.0)
     owner.hello(0.0, 1, hello("in-1", 1))
     return owner
 
@@ -160,7 +160,7 @@
     owner = make()
     owner.announce(0.0, announced(instance="one"))
     (start,) = owner.dispatch(0.1, 0, 1, dispatch(1))
-    owner.reshape(0.1, Shape(1, 10, 0, 1))
+    owner.set_queue_limits(0.1, QueueLimits(1, 10, 0, 1))
     owner.dispatch(0.1, 0, 1, dispatch(2, budget_ms=60_000))
     assert isinstance(start, StartCall)
     ended = owner.finished(0.2, start.ticket, Replaced())
@@ -216,8 +216,11 @@
     """Guards against ingresses that assume a single slot and send their calls elsewhere."""
     owner = make(slots=1)
     owner.hello(0.0, 2, hello("in-2", 1))
-    assert reported_slots(owner.reshape(0.1, Shape(12, 10, 0, 1))) == [(1, 12), (2, 12)]
-    assert owner.reshape(0.2, Shape(12, 20, 0, 1)) == []
+    assert reported_slots(owner.set_queue_limits(0.1, QueueLimits(12, 10, 0, 1))) == [
+        (1, 12),
+        (2, 12),
+    ]
+    assert owner.set_queue_limits(0.2, QueueLimits(12, 20, 0, 1)) == []
 
 
 def test_announced_slots_are_reported() -> None:
@@ -248,7 +251,7 @@
     owner = make(slots=1)
     owner.dispatch(0.1, 0, 1, dispatch(1))
     assert owner.dispatch(0.1, 0, 1, dispatch(2)) == []
-    started = owner.reshape(0.2, Shape(2, 10, 0, 1))
+    started = owner.set_queue_limits(0.2, QueueLimits(2, 10, 0, 1))
     assert [each for each in started if isinstance(each, StartCall)]
     assert owner.queue.queued == 0
 
@@ -282,8 +285,8 @@
 
 
 def test_call_whose_body_exceeds_the_memory_limit_is_refused_as_not_run() -> None:
-    bodies = HeldBytes(100_000)
-    owner = Owner("depo-1", "depo", Shape(1, 10, 0, 1), 600.0, bodies=bodies)
+    bodies = BodyMemory(100_000)
+    owner = Owner("depo-1", "depo", QueueLimits(1, 10, 0, 1), 600.0, bodies=bodies)
     owner.hello(0.0, 1, hello("in-1", 1))
     owner.dispatch(0.0, 0, 1, dispatch(1, body=b"x" * 60_000))
     owner.dispatch(0.0, 0, 1, dispatch(2, body=b"x" * 30_000))
@@ -291,11 +294,11 @@
         (3, "Refusal", "no")
     ]
     assert owner.refusals.take()[-1].reason == "bodies-full"
-    assert bodies.held == 90_000
+    assert bodies.used == 90_000
     owner.finished(0.1, 1, ANSWER)
     owner.withdraw(0.1, 1, {"seq": 2})
     owner.finished(0.2, 2, Incomplete(True, "cancelled"))
-    assert bodies.held == 0
+    assert bodies.used == 0
     assert owner.calls == 0
 
 
@@ -333,7 +336,7 @@
     row = {"call": call, "crashes": ["a/1", "b/1"], "refuted": [], "age_ms": 0}
     actions = owner.learn_crashes(0.1, [cast("Any", row)])
     assert QuarantineCalls([call]) in actions
-    assert CancelCall(started.ticket, HELD) in actions
+    assert CancelCall(started.ticket, QUARANTINED) in actions
     assert sent_results(actions) == [(2, "Refusal", "no")]
     assert sent_results(owner.dispatch(0.2, 0, 1, dispatch(3))) == [(3, "Refusal", "no")]
     assert sent_results(owner.dispatch(0.2, 0, 1, dispatch(4, path="/depo/y"))) == []
@@ -360,6 +363,6 @@
     for seq, status in ((1, 504), (2, 200)):
         (started,) = owner.dispatch(0.0, 0, 1, dispatch(seq))
         call = owner.tickets[started.ticket].identity
-        owner.quarantine.learned(0.0, [{**EMPTY, "call": call, "crashes": ["a/1"]}])
+        owner.quarantine.merge(0.0, [{**EMPTY, "call": call, "crashes": ["a/1"]}])
         owner.finished(0.1, started.ticket, Complete(status, [], b""))
         assert owner.quarantine.is_suspect(call) is (status == 504)
