--- a/bench/world.py
+++ b/bench/world.py
@@ -14,11 +14,11 @@
 
 from bench.deployments import Case, Deployment, Seen, Slowdown, configuration
 from bench.fake_upstream import FakeUpstream
-from foldhoist.admission.slots import Shape
+from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import parse_fleet
 from foldhoist.delivery.call import CallerRequest, Connect, Reply, SendTo
 from foldhoist.delivery.codec import SCHEMA_VERSION
-from foldhoist.delivery.dispatch import CancelCall, StartCall, Whole
+from foldhoist.delivery.dispatch import CancelCall, Complete, StartCall
 from foldhoist.delivery.dispatch import SendTo as OwnerSendTo
 from foldhoist.delivery.ingress import Ingress
 from foldhoist.delivery.owner import Owner
@@ -72,10 +72,10 @@
     def make_owner(self, name: str) -> Owner:
         """Return an owner."""
         service = self.fleet["services"]["s"]
-        shape = Shape(
+        limits = QueueLimits(
             self.deployment.slots, service["queue"], service["urgent_slots"], service["urgent_run"]
         )
-        return Owner(name, "s", shape, 600.0)
+        return Owner(name, "s", limits, 600.0)
 
     def make_ingress(self, name: str) -> Ingress:
         """Return an ingress."""
@@ -275,7 +275,7 @@
 
         def done() -> None:
             owner = self.owners[target]
-            whole = Whole(status, [], b"")
+            whole = Complete(status, [], b"")
             self.carry_owner(target, owner.finished(self.env.now, ticket, whole))
 
         self.after(upstream.duration(self.env.now), done)
--- a/foldhoist/admission/due.py
+++ b/foldhoist/admission/due.py
@@ -1,8 +1,8 @@
-"""The owner's slots and a queue ordered by when answers are due, for routes with objectives.
+"""The owner's slots and a queue ordered by due time, for routes with objectives; no I/O, no clock.
 
-Calls that can still be on time go first, the one that is due first before the others; calls that
-cannot be on time any more wait behind them. A call that would wait too long is refused at once, so
-that its caller can go elsewhere.
+Calls that can still be on time start first, in order of their due times; calls that can't be on
+time any more start after them. A call that would wait too long is refused on arrival, so that its
+caller can try elsewhere.
 """
 
 from __future__ import annotations
@@ -12,211 +12,221 @@
 
 from foldhoist.admission.cold import ColdStart
 from foldhoist.admission.completion import latest_start
-from foldhoist.admission.nested import CallersOfRoutes
-from foldhoist.admission.pace import PaceWatch
-from foldhoist.admission.shares import Shares
+from foldhoist.admission.nested import RouteCallers
+from foldhoist.admission.pace import PaceMonitor
+from foldhoist.admission.refusal_rates import RefusalRates
 from foldhoist.admission.slots import DEFAULT_SERVICE_S, SMOOTHING, Refuse, Start, Wait
 
 if TYPE_CHECKING:
-    from foldhoist.admission.slots import Decision, Shape
+    from foldhoist.admission.slots import Decision, QueueLimits
     from foldhoist.schema.messages import Dispatch
 
-RANK_S = 0.02
-"""Each rank counts as if its calls were due this much later, seconds."""
+RANK_DELAY_S = 0.02
+"""Added to the due time of a call for each priority rank, seconds."""
 
 
-class Wish(NamedTuple):
-    """What a call asks for; times are monotonic seconds, `expect_s` how long it takes.
+class QueuedCall(NamedTuple):
+    """A call that asks for a slot; times are monotonic seconds.
 
-    It waits until `start_by`; a slot that is free then is still taken before the `deadline`. What
-    can't be answered before `timely` goes behind the others; None for the time that it is `due`.
-    A call that `yields` goes behind those that don't.
+    `expect_s` is the expected service time. The call waits until `start_by`; a slot that is free
+    after that is still taken before the `deadline`. Once it can't be answered by `on_time_by`
+    (None: by `due`), it goes behind the calls that can be on time. Among those, the ones of
+    `low_priority` go last.
     """
 
     due: float
     start_by: float
     expect_s: float
     deadline: float
-    timely: float | None = None
+    on_time_by: float | None = None
     rank: int = 0
-    yields: bool = False
+    low_priority: bool = False
 
     @property
     def order(self) -> tuple[bool, float]:
-        """Return what the queue sorts by."""
-        return self.yields, self.due
+        """Return the sort key in the queue."""
+        return self.low_priority, self.due
 
 
 class DueQueue:
     """Counts busy slots and orders waiting calls; `now` is in seconds, monotonic."""
 
-    def __init__(self, shape: Shape) -> None:
-        self.shape = shape
+    def __init__(self, limits: QueueLimits) -> None:
+        self.limits = limits
         self.busy = 0
         self.service_s = DEFAULT_SERVICE_S
-        self.pace = PaceWatch()
+        self.pace = PaceMonitor()
         self.cold = ColdStart()
-        self._callers = CallersOfRoutes()
-        self._waiting: dict[int, Wish] = {}
-        self._shares = Shares()
-        self._timely: list[tuple[tuple[bool, float], int]] = []
+        self._callers = RouteCallers()
+        self._waiting: dict[int, QueuedCall] = {}
+        self._refusal_rates = RefusalRates()
+        self._on_time: list[tuple[tuple[bool, float], int]] = []
         self._late: list[tuple[float, int]] = []
 
     @property
     def queued(self) -> int:
-        """Return the number of calls that wait."""
+        """Return the number of waiting calls."""
         return len(self._waiting)
 
-    def wish_of(self, now: float, req: Dispatch, start_by: float, deadline: float) -> Wish:
-        """Return what a new call asks for; without an objective it is due at its deadline.
+    def queued_call(
+        self, now: float, req: Dispatch, start_by: float, deadline: float
+    ) -> QueuedCall:
+        """Return a new call with its times and priority; records which service it comes from.
 
-        A nested call has the rank of what it is a part of. One that yields waits no longer than
-        others: it would only keep what it is a part of in its slot. Calls of a customer that has
-        used up most of its burst yield: what it sends beyond its usual takes no one else's room.
+        Without an objective it is due when its budget ends. Calls of a customer that has used up
+        most of its burst have low priority, and so have calls of a rank that `RefusalRates` puts
+        behind more urgent ones.
 
-        The call is counted for what its route is taken for. A nested call is a part of another
-        one, which is lost if it is refused: it waits longer, and is of use until its deadline.
+        A nested call takes the rank of its parent, whose work is lost if it is refused: it waits
+        longer and counts as on time until its deadline. One of low priority waits no longer than
+        other calls, since it would keep the slot of its parent occupied.
         """
         route = req.get("route", "")
-        self._callers.learn(route, req.get("caller", ""))
+        self._callers.record(route, req.get("caller", ""))
         nested = self._callers.is_nested(route)
         rank = max(0, req.get("rank", 0))
         if nested:
             rank = max(0, req.get("parent_rank", rank))
-        due = now + req.get("due_ms", req["budget_ms"]) / 1000 + rank * RANK_S
+        due = now + req.get("due_ms", req["budget_ms"]) / 1000 + rank * RANK_DELAY_S
         expect_s = req.get("expect_ms", 0) / 1000
-        yields = req.get("scarce", False) or self._shares.yields(now, rank)
-        wish = Wish(due, start_by, expect_s, deadline, None, rank, yields)
-        if not nested or wish.yields:
-            return wish
+        low_priority = req.get("scarce", False) or self._refusal_rates.is_low_priority(now, rank)
+        call = QueuedCall(due, start_by, expect_s, deadline, None, rank, low_priority)
+        if not nested or call.low_priority:
+            return call
         useful = latest_start(now, deadline, deadline, expect_s)
-        return wish._replace(start_by=max(start_by, useful), timely=deadline)
+        return call._replace(start_by=max(start_by, useful), on_time_by=deadline)
 
-    def submit(self, now: float, ticket: int, wish: Wish) -> Decision:
-        """Decide on a new call: with a slot free, what waits only waits for a faster moment.
+    def submit(self, now: float, ticket: int, call: QueuedCall) -> Decision:
+        """Decide on a new call.
 
-        A call that takes such a slot may end late; only one that has to wait is held to being on
-        time, since what it is expected to take may be wrong.
+        A call that finds a free slot starts even if it is expected to be late, since the expected
+        service time may be wrong; it waits only if a slow upstream is likely to speed up soon. A
+        call that has to wait must be able to start by `start_by`.
         """
-        if now >= wish.deadline:
-            return self._refused(now, ticket, wish, "deadline-passed", 0.0)
-        if self._has_room(now) and self._may_start(now, wish):
-            return self._started(now, ticket, wish)
-        expected = self.expected_wait(now, wish)
-        if len(self._waiting) >= self.shape.queue:
-            return self._refused(now, ticket, wish, "queue-full", expected)
-        if now + expected > wish.start_by:
-            return self._refused(now, ticket, wish, "no-slot-in-time", expected)
-        self._waiting[ticket] = wish
-        heappush(self._timely, (wish.order, ticket))
+        if now >= call.deadline:
+            return self._refused(now, ticket, call, "deadline-passed", 0.0)
+        if self._has_room(now) and self._may_start(now, call):
+            return self._started(now, ticket, call)
+        expected = self.expected_wait(now, call)
+        if len(self._waiting) >= self.limits.queue:
+            return self._refused(now, ticket, call, "queue-full", expected)
+        if now + expected > call.start_by:
+            return self._refused(now, ticket, call, "no-slot-in-time", expected)
+        self._waiting[ticket] = call
+        heappush(self._on_time, (call.order, ticket))
         return Wait(ticket)
 
-    def expected_wait(self, now: float, wish: Wish) -> float:
-        """Return the seconds until a new call gets a slot, by what goes before it."""
-        ahead = [other for other in self._waiting.values() if other.order <= wish.order]
+    def expected_wait(self, now: float, call: QueuedCall) -> float:
+        """Return the seconds until a new call gets a slot, by the calls that go before it."""
+        ahead = [other for other in self._waiting.values() if other.order <= call.order]
         work_s = sum(other.expect_s for other in ahead)
-        slot_s = (work_s + self.service_s) / self.shape.slots
+        slot_s = (work_s + self.service_s) / self.limits.slots
         return max(slot_s, self.cold.ready_at(now, len(ahead)) - now)
 
     def withdraw(self, ticket: int) -> None:
-        """Take a waiting call out of the queue."""
+        """Remove a waiting call from the queue."""
         self._waiting.pop(ticket, None)
 
     def release(self, now: float, served_s: float | None) -> list[Decision]:
-        """Free a slot; `served_s` is the service time if an answer came. Starts waiting calls."""
+        """Free a slot and start waiting calls.
+
+        `served_s` is the service time, None if no answer came.
+        """
         self.busy -= 1
         if served_s is not None:
             self.service_s += SMOOTHING * (served_s - self.service_s)
         return self.advance(now)
 
     def advance(self, now: float) -> list[Decision]:
-        """Start what can be started and refuse what has waited too long."""
+        """Start calls while slots are free; refuse those that would miss their deadline."""
         decisions: list[Decision] = []
         while self._has_room(now):
             ticket = self._next(now)
             if ticket is None:
                 return decisions
-            wish = self._waiting.pop(ticket)
-            if now + wish.expect_s >= wish.deadline:
-                reason, again_s = "no-slot-in-time", self.service_s
-                decisions.append(self._refused(now, ticket, wish, reason, again_s))
+            call = self._waiting.pop(ticket)
+            if now + call.expect_s >= call.deadline:
+                reason, retry_after_s = "no-slot-in-time", self.service_s
+                decisions.append(self._refused(now, ticket, call, reason, retry_after_s))
                 continue
-            decisions.append(self._started(now, ticket, wish))
+            decisions.append(self._started(now, ticket, call))
         return decisions
 
     def expire(self, now: float) -> list[Decision]:
-        """Refuse every waiting call that may not start any more."""
-        late = [ticket for ticket, wish in self._waiting.items() if now >= wish.start_by]
-        reason, again_s = "no-slot-in-time", self.service_s
+        """Refuse every waiting call whose `start_by` has passed."""
+        late = [ticket for ticket, call in self._waiting.items() if now >= call.start_by]
+        reason, retry_after_s = "no-slot-in-time", self.service_s
         return [
-            self._refused(now, ticket, self._waiting.pop(ticket), reason, again_s)
+            self._refused(now, ticket, self._waiting.pop(ticket), reason, retry_after_s)
             for ticket in late
         ]
 
     def next_at(self, now: float) -> float | None:
-        """Return when a waiting call may not start any more, or may start; None if none waits."""
+        """Return when the next waiting call expires or may start; None if none waits."""
         if not self._waiting:
             return None
-        late_at = min(wish.start_by for wish in self._waiting.values())
+        late_at = min(call.start_by for call in self._waiting.values())
         ready_at = self.cold.ready_at(now)
         return min(late_at, ready_at) if ready_at > now else late_at
 
     def _has_room(self, now: float) -> bool:
-        return self.busy < self.cold.room(self.shape.slots) and self.cold.may_start(now)
+        return self.busy < self.cold.usable_slots(self.limits.slots) and self.cold.may_start(now)
 
-    def _started(self, now: float, ticket: int, wish: Wish) -> Start:
+    def _started(self, now: float, ticket: int, call: QueuedCall) -> Start:
         self.busy += 1
-        self.cold.started(now)
-        self._shares.decided(now, wish.rank, refused=False)
+        self.cold.record_start(now)
+        self._refusal_rates.record(now, call.rank, refused=False)
         return Start(ticket)
 
     def _refused(
-        self, now: float, ticket: int, wish: Wish, reason: str, retry_after_s: float
+        self, now: float, ticket: int, call: QueuedCall, reason: str, retry_after_s: float
     ) -> Refuse:
-        self._shares.decided(now, wish.rank, refused=True)
+        self._refusal_rates.record(now, call.rank, refused=True)
         return Refuse(ticket, reason, retry_after_s)
 
-    def _may_start(self, now: float, wish: Wish) -> bool:
-        """Return whether the call should start now rather than wait for a faster moment.
+    def _may_start(self, now: float, call: QueuedCall) -> bool:
+        """Return whether the call should start now rather than wait for a faster upstream.
 
-        A call that starts in a slow spell of the upstream holds its slot for several times as long
-        as one that waits for the end of the spell.
+        A call that starts while the upstream is slow occupies its slot several times as long as one
+        that starts afterwards.
         """
-        return not self.pace.is_worth_waiting(now, wish.expect_s)
+        return not self.pace.is_worth_waiting(now, call.expect_s)
 
     def _next(self, now: float) -> int | None:
-        held: list[tuple[tuple[bool, float], int]] = []
-        found = self._first_timely(now, held)
-        for entry in held:
-            heappush(self._timely, entry)
+        skipped: list[tuple[tuple[bool, float], int]] = []
+        found = self._first_on_time(now, skipped)
+        for entry in skipped:
+            heappush(self._on_time, entry)
         return self._first_late(now) if found is None else found
 
-    def _first_timely(self, now: float, held: list[tuple[tuple[bool, float], int]]) -> int | None:
-        while self._timely:
-            order, ticket = heappop(self._timely)
-            wish = self._waiting.get(ticket)
-            if wish is None:
+    def _first_on_time(
+        self, now: float, skipped: list[tuple[tuple[bool, float], int]]
+    ) -> int | None:
+        while self._on_time:
+            order, ticket = heappop(self._on_time)
+            call = self._waiting.get(ticket)
+            if call is None:
                 continue
-            if now + wish.expect_s > (wish.timely or wish.due):
-                heappush(self._late, (wish.start_by, ticket))
+            if now + call.expect_s > (call.on_time_by or call.due):
+                heappush(self._late, (call.start_by, ticket))
                 continue
-            if self._may_start(now, wish):
+            if self._may_start(now, call):
                 return ticket
-            held.append((order, ticket))
+            skipped.append((order, ticket))
         return None
 
     def _first_late(self, now: float) -> int | None:
-        held: list[tuple[float, int]] = []
+        skipped: list[tuple[float, int]] = []
         found: int | None = None
         while self._late and found is None:
             start_by, ticket = heappop(self._late)
-            wish = self._waiting.get(ticket)
-            if wish is None:
+            call = self._waiting.get(ticket)
+            if call is None:
                 continue
-            if self._may_start(now, wish):
+            if self._may_start(now, call):
                 found = ticket
             else:
-                held.append((start_by, ticket))
-        for entry in held:
+                skipped.append((start_by, ticket))
+        for entry in skipped:
             heappush(self._late, entry)
         return found
--- a/foldhoist/customers/credit.py
+++ b/foldhoist/customers/credit.py
@@ -11,7 +11,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, NamedTuple, TypeAlias
 
-from foldhoist.admission.fading import FadingShare
+from foldhoist.admission.decaying_ratio import DecayingRatio
 from foldhoist.customers.candidates import quota_server_candidates, ranked_servers
 from foldhoist.customers.quota_server import MAX_RETRY_AFTER_S
 
@@ -115,7 +115,7 @@
         self.waiting: deque[int] = deque()
         self.pending: _PendingAsk | None = None
         self.tried: set[str] = set()
-        self.demand = FadingShare(now, DEMAND_DECAY_S)
+        self.demand = DecayingRatio(now, DEMAND_DECAY_S)
         self.last_call_at = now
         self.own_credit = 0.0
         self.own_credit_at = now
@@ -287,8 +287,8 @@
         self.asks += 1
         account.pending = _PendingAsk(ask_id, server, now)
         self._pending[ask_id] = account
-        # Credit prefetched by one host is not available to the others while it is short.
-        prefetch = 0 if account.over_burst else int(account.demand.counted(now) * PREFETCH_S)
+        # When credit is short, credit held unused by one host is missing at the others.
+        prefetch = 0 if account.over_burst else int(account.demand.total(now) * PREFETCH_S)
         want = min(len(account.waiting) + prefetch, int(account.customer.max_credit) + 1)
         if server != account.server:
             account.server, account.server_since = server, now
--- a/foldhoist/customers/quota_server.py
+++ b/foldhoist/customers/quota_server.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from foldhoist.admission.fading import FadingShare
+from foldhoist.admission.decaying_ratio import DecayingRatio
 from foldhoist.customers.candidates import quota_server_candidates, ranked_servers
 from foldhoist.customers.directory import Directory
 
@@ -70,13 +70,13 @@
     def __init__(self, at: float) -> None:
         self.at = at
         self.asks_per_s = 0.0
-        self.asks = FadingShare(at, ASKS_DECAY_S)
+        self.asks = DecayingRatio(at, ASKS_DECAY_S)
 
     def count_ask(self, at: float) -> float:
         """Count a request; returns the time since the one before it, seconds."""
         gap_s = at - self.at
         self.at = at
-        self.asks_per_s = self.asks.counted(at) / ASKS_DECAY_S
+        self.asks_per_s = self.asks.total(at) / ASKS_DECAY_S
         self.asks.count(at, 0.0)
         return gap_s
 
@@ -99,7 +99,7 @@
         self.primary = primary
         self.rate_share = 0.0
         self.asking_hosts: dict[str, _AskingHost] = {}
-        self.denials = FadingShare(at, DENIALS_DECAY_S)
+        self.denials = DecayingRatio(at, DENIALS_DECAY_S)
 
 
 class QuotaServer:
@@ -191,7 +191,7 @@
         """Return the time until credit covers the calls denied lately, seconds, within bounds."""
         rate_share = bucket.rate_share or len(bucket.asking_hosts) / len(self._hosts.known)
         gained = customer.rate_per_s * rate_share
-        waiting = max(1.0, bucket.denials.counted(at))
+        waiting = max(1.0, bucket.denials.total(at))
         retry_after_s = (waiting - bucket.level) / gained
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_after_s))
 
--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -11,9 +11,9 @@
 
 from loguru import logger
 
+from foldhoist.admission.body_memory import BodyMemory
 from foldhoist.admission.cold import ColdRate
-from foldhoist.admission.held import HeldBytes
-from foldhoist.admission.slots import Shape
+from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import evacuated
 from foldhoist.config.reread import LIMITS, reread
 from foldhoist.daemon.callers import CallerConnection, Shared
@@ -52,8 +52,8 @@
 
 EAGER_LINKS = 64
 """With no more tracked upstreams than this, connections are opened before the first call."""
-SHAPE_UNKNOWN = Shape(slots=1, queue=0, urgent_slots=0, urgent_run=1)
-"""Shape of the owner before the first configuration names it."""
+INITIAL_QUEUE_LIMITS = QueueLimits(slots=1, queue=0, urgent_slots=0, urgent_run=1)
+"""Queue limits of the owner before the first configuration names it."""
 DRAIN_LOOK_S = 0.02
 """Time between two looks at what is still in flight at a planned stop, seconds."""
 QUIET_S = 1.0
@@ -93,12 +93,12 @@
         limit = cfg["limits"]["body_bytes"] + FRAME_OVERHEAD_BYTES
         platform = cfg["platform"]
         self.client = PlatformClient(platform["log"], platform["stream"], platform["hosts"])
-        self._bodies = HeldBytes(cfg["limits"]["held_bytes"])
+        self._bodies = BodyMemory(cfg["limits"]["held_bytes"])
         quarantine = Quarantine(self.incarnation)
         self.owner = Owner(
             self.name,
             "",
-            SHAPE_UNKNOWN,
+            INITIAL_QUEUE_LIMITS,
             KEY_WINDOW_S,
             bodies=self._bodies,
             quarantine=quarantine,
@@ -175,8 +175,8 @@
         self.cfg = found.cfg
         limits = found.cfg["limits"]
         self.shared.adopt(limits)
-        self.ingress_task.ingress.door.most_calls = limits["calls"]
-        self._bodies.most = limits["held_bytes"]
+        self.ingress_task.ingress.admission.max_calls = limits["calls"]
+        self._bodies.limit = limits["held_bytes"]
 
     async def stop(self) -> None:
         """Close every socket and end every task."""
@@ -254,8 +254,10 @@
             return
         self.owner.service = target["service"]
         self.owner.keys.window_s = service["key_window_s"]
-        self.owner_task.reshape(
-            Shape(target["slots"], service["queue"], service["urgent_slots"], service["urgent_run"])
+        self.owner_task.set_queue_limits(
+            QueueLimits(
+                target["slots"], service["queue"], service["urgent_slots"], service["urgent_run"]
+            )
         )
         self.owner_task.pool.most = target["connections"]
         rate = ColdRate(service["cold_per_s"], service["cold_ms"] / 1000)
--- a/foldhoist/delivery/keys.py
+++ b/foldhoist/delivery/keys.py
@@ -1,8 +1,7 @@
 """Idempotency keys at their home: each key runs at most once within its window.
 
-A home runs a key only if it knows every run of that key since the key was issued. Where it does
-not, it refuses, and says whether the key may have run before. docs/design/at-most-once.md gives
-the argument.
+A home runs a key only if it knows every run of that key since the key was issued. Otherwise it
+refuses, and states whether the key may have run before. See docs/design/at-most-once.md.
 """
 
 from __future__ import annotations
@@ -19,31 +18,31 @@
     from foldhoist.schema.messages import Handed, KeyState
 
 KEY_WINDOW_S = 600.0
-"""How long a key is remembered unless a configuration says otherwise, seconds."""
+"""How long a key is remembered unless a configuration sets it, seconds."""
 CLOCK_SKEW_MS = 2000
-"""Wall clocks of two hosts are trusted to differ by less than this, milliseconds."""
-MOST_KEYS = 50_000
-"""Keys that one home remembers; more are refused."""
-MOST_BYTES = 32 * 1024 * 1024
-"""Bytes of answers that one home keeps for keys; with more, new keys are refused."""
+"""Wall clocks of two hosts are assumed to differ by less than this, milliseconds."""
+MAX_KEYS = 50_000
+"""Keys that one home remembers; further new keys are refused."""
+MAX_ANSWER_BYTES = 32 * 1024 * 1024
+"""Bytes of answer bodies that one home keeps; from this on new keys are refused."""
 
 
 class Run(NamedTuple):
-    """The key is new here and was claimed: run it."""
+    """The key was new and is now claimed: run the call."""
 
 
 class Join(NamedTuple):
-    """The key is running: its answer is the answer of this call, too."""
+    """A call with this key is running: this call gets the same result."""
 
 
 class Replay(NamedTuple):
-    """The key has run: this is its answer."""
+    """A call with this key was answered: send its answer again."""
 
     response: Response
 
 
 class Deny(NamedTuple):
-    """The key is not run. `ran` is "maybe" if an earlier call with it may have run."""
+    """The call is not run; `ran` is "maybe" if an earlier call with the key may have run."""
 
     ran: str
     reason: str
@@ -54,25 +53,25 @@
 
 
 class _Entry:
-    __slots__ = ("fingerprint", "first", "response", "running")
+    __slots__ = ("claimed_at", "fingerprint", "response", "running")
 
-    def __init__(self, fingerprint: str, first: float, running: bool) -> None:
+    def __init__(self, fingerprint: str, claimed_at: float, running: bool) -> None:
         self.fingerprint = fingerprint
-        self.first = first
+        self.claimed_at = claimed_at
         self.running = running
         self.response: Response | None = None
 
 
 def fingerprint(method: str, path: str, body: bytes) -> str:
-    """Return a digest of what a request asks for."""
+    """Return a digest of a request's method, path and body."""
     digest = blake2b(digest_size=12)
     digest.update(f"{method} {path}\0".encode())
     digest.update(body)
     return digest.hexdigest()
 
 
-def issued_by_uuid7(key: str) -> int:
-    """Return the wall clock in milliseconds inside a UUIDv7, or 0 if the key is none."""
+def uuid7_issued_ms(key: str) -> int:
+    """Return the wall-clock time in a UUIDv7, milliseconds, or 0 if the key is no UUIDv7."""
     digits = key.replace("-", "")
     if len(digits) != 32 or digits[12] != "7":
         return 0
@@ -83,14 +82,14 @@
 
 
 class KeyTable:
-    """The keys of one home; `now` is monotonic seconds, `wall_ms` wall clock milliseconds."""
+    """The keys of one home; `now` is monotonic seconds, `wall_ms` wall-clock milliseconds."""
 
     def __init__(self, name: str, window_s: float) -> None:
         self.name = name
         self.window_s = window_s
         self.generation = 0
         self._names: frozenset[str] | None = None
-        self._before: frozenset[str] | None = None
+        self._former_names: frozenset[str] | None = None
         self._pending: set[str] = set()
         self._own_since_ms = 0
         self._moved_since_ms = 0
@@ -99,20 +98,20 @@
 
     @property
     def pending(self) -> frozenset[str]:
-        """Return the former homes that have not handed over yet."""
+        """Return the targets that have not handed over their keys yet."""
         return frozenset(self._pending)
 
     @property
     def since_ms(self) -> int:
-        """Return the wall clock from which on every key of this home is known."""
+        """Return the wall-clock time since which every run of this home's keys is known."""
         return max(self._own_since_ms, self._moved_since_ms)
 
     def adopt(
         self, wall_ms: int, generation: int, serving: Iterable[str], others: Iterable[str]
     ) -> frozenset[str]:
-        """Take over a generation; return the targets that must hand over their keys first.
+        """Apply a generation; returns the targets that must hand over their keys first.
 
-        `serving` are the names that may be homes, `others` all that are not retired.
+        `serving` are the targets that may be homes, `others` all that are not retired.
         """
         names = frozenset(serving)
         followed = generation == self.generation + 1 and self._names is not None
@@ -123,7 +122,7 @@
             self._pending &= set(others)
             return frozenset(self._pending)
         self._own_since_ms = self.since_ms
-        self._before = self._names if followed else None
+        self._former_names = self._names if followed else None
         if not followed:
             self._own_since_ms = wall_ms
         self._moved_since_ms = self._own_since_ms
@@ -135,49 +134,51 @@
         return frozenset(self._pending)
 
     def handed(self, now: float, message: Handed) -> None:
-        """Take in what a former home knew; it runs keys of ours no more."""
+        """Import the keys of a former home, which no longer runs them."""
         if message["generation"] < self.generation:
             return
         if message["former"] not in self._pending:
             return
         self._pending.discard(message["former"])
-        if self._before is not None and message["former"] in self._before:
+        if self._former_names is not None and message["former"] in self._former_names:
             self._moved_since_ms = max(self._moved_since_ms, message["since_ms"])
         for state in message["keys"]:
             self._import(now, state)
 
     def export(self, now: float, target: str) -> list[KeyState]:
-        """Return what is known of the keys whose home is `target` now."""
+        """Return the state of the keys whose home is now `target`."""
         states: list[KeyState] = []
         for key, entry in self._entries.items():
             if self._home(key) != target:
                 continue
-            states.append(_state(key, entry, now))
+            states.append(_key_state(key, entry, now))
         return states
 
-    def claim(self, now: float, wall_ms: int, key: str, issued_ms: int, mark: str) -> Claim:
-        """Decide on a call with this key; `mark` is the request's fingerprint."""
+    def claim(
+        self, now: float, wall_ms: int, key: str, issued_ms: int, request_fingerprint: str
+    ) -> Claim:
+        """Decide whether a call with this key runs; `issued_ms` is 0 if not known."""
         if self._home(key) != self.name:
             return Deny("no", "key-has-another-home", 0.5)
         entry = self._entries.get(key)
         if entry is not None:
-            return _again(entry, mark)
-        was_home = self._before is not None and home(self._before, key) == self.name
+            return _claim_known_key(entry, request_fingerprint)
+        was_home = self._former_names is not None and home(self._former_names, key) == self.name
         if self._pending and not was_home:
             return Deny("no", "key-handover-pending", 0.5)
         since = self._own_since_ms if was_home else self._moved_since_ms
-        first = issued_ms or wall_ms - int(self.window_s * 1000)
-        if first < since + CLOCK_SKEW_MS:
+        earliest_ms = issued_ms or wall_ms - int(self.window_s * 1000)
+        if earliest_ms < since + CLOCK_SKEW_MS:
             return Deny("maybe", "key-older-than-its-home", self.window_s)
-        if first < wall_ms - self.window_s * 1000 and issued_ms:
+        if earliest_ms < wall_ms - self.window_s * 1000 and issued_ms:
             return Deny("maybe", "key-past-its-window", self.window_s)
-        if len(self._entries) >= MOST_KEYS or self._bytes >= MOST_BYTES:
+        if len(self._entries) >= MAX_KEYS or self._bytes >= MAX_ANSWER_BYTES:
             return Deny("no", "key-table-full", 1.0)
-        self._entries[key] = _Entry(mark, now, running=True)
+        self._entries[key] = _Entry(request_fingerprint, now, running=True)
         return Run()
 
     def ended(self, key: str, response: Response | None, ran: bool) -> None:
-        """Take in the end of a claimed run: its answer, or that it may have run, or did not."""
+        """Record the end of a claimed run: answered, may have run (no response), or not run."""
         entry = self._entries.get(key)
         if entry is None:
             return
@@ -190,9 +191,9 @@
             self._bytes += len(response.body)
 
     def expire(self, now: float) -> None:
-        """Forget the keys whose window has passed."""
+        """Forget the keys whose window has passed, except those that still run."""
         limit = now - self.window_s
-        old = [key for key, entry in self._entries.items() if entry.first < limit]
+        old = [key for key, entry in self._entries.items() if entry.claimed_at < limit]
         for key in old:
             entry = self._entries[key]
             if entry.running:
@@ -215,8 +216,8 @@
         self._entries[state["key"]] = entry
 
 
-def _again(entry: _Entry, mark: str) -> Claim:
-    if entry.fingerprint != mark:
+def _claim_known_key(entry: _Entry, request_fingerprint: str) -> Claim:
+    if entry.fingerprint != request_fingerprint:
         return Deny("no", "key-reused-for-another-request", 0.0)
     if entry.running:
         return Join()
@@ -225,7 +226,7 @@
     return Deny("maybe", "key-may-have-run", 0.0)
 
 
-def _state(key: str, entry: _Entry, now: float) -> KeyState:
+def _key_state(key: str, entry: _Entry, now: float) -> KeyState:
     response = entry.response
     return {
         "key": key,
@@ -234,5 +235,5 @@
         "status": response.status if response is not None else 0,
         "headers": response.headers if response is not None else [],
         "body": response.body if response is not None else b"",
-        "age_ms": int((now - entry.first) * 1000),
+        "age_ms": int((now - entry.claimed_at) * 1000),
     }
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -9,19 +9,21 @@
 from typing import TYPE_CHECKING
 
 from foldhoist.admission.cold import ColdStart
-from foldhoist.admission.crowding import Crowding
+from foldhoist.admission.concurrency_limit import ConcurrencyLimit
 from foldhoist.admission.due import DueQueue
-from foldhoist.admission.slots import Refuse, Shape, SlotQueue, Start
+from foldhoist.admission.slots import QueueLimits, Refuse, SlotQueue, Start
 from foldhoist.delivery import replies
+from foldhoist.delivery.call_finisher import CallFinisher
 from foldhoist.delivery.claims import Claims
 from foldhoist.delivery.dispatch import (
     Action,
-    Broken,
     CancelCall,
     CloseLink,
+    Complete,
     Counters,
     Ended,
     Frame,
+    Incomplete,
     Peer,
     Replaced,
     Result,
@@ -29,9 +31,7 @@
     Shed,
     StartCall,
     Ticket,
-    Whole,
 )
-from foldhoist.delivery.endings import Endings
 from foldhoist.delivery.keys import KeyTable
 from foldhoist.delivery.load_reports import LoadReports, crashes_frame
 from foldhoist.delivery.owner_admission import OwnerAdmission
@@ -40,12 +40,12 @@
 from foldhoist.delivery.shed_guard import ShedGuard
 from foldhoist.delivery.tickets import Tickets
 from foldhoist.delivery.upstream_status import EVACUATED, REPLACED, UpstreamStatus
-from foldhoist.delivery.waiting import Waiting
+from foldhoist.delivery.waiting_calls import WaitingCalls
 from foldhoist.quarantine.table import Quarantine
 
 if TYPE_CHECKING:
+    from foldhoist.admission.body_memory import BodyMemory
     from foldhoist.admission.cold import ColdRate
-    from foldhoist.admission.held import HeldBytes
     from foldhoist.admission.slots import Decision
     from foldhoist.delivery.dispatch import Sample
     from foldhoist.schema.messages import (
@@ -71,15 +71,15 @@
         self,
         name: str,
         service: str,
-        shape: Shape,
+        limits: QueueLimits,
         key_window_s: float,
         queue: SlotQueue | DueQueue | None = None,
-        bodies: HeldBytes | None = None,
+        bodies: BodyMemory | None = None,
         quarantine: Quarantine | None = None,
     ) -> None:
         self.name = name
         self.service = service
-        self.queue = queue if queue is not None else SlotQueue(shape)
+        self.queue = queue if queue is not None else SlotQueue(limits)
         self.keys = KeyTable(name, key_window_s)
         self.count = Counters()
         self.quarantine = quarantine if quarantine is not None else Quarantine()
@@ -88,11 +88,13 @@
         self._peers = Peers()
         self._reports = LoadReports(self.status, self.queue, self._peers)
         self.tickets = Tickets(bodies)
-        self._endings = Endings(self.tickets, self.keys, self._peers, self._reports, self.count)
-        self.refusals = self._endings.refusals
-        self._claims = Claims(self.keys, self._endings, self.count)
-        self._crowding = Crowding()
-        self._waiting = Waiting(self.queue, self.tickets, self._endings)
+        self._finisher = CallFinisher(
+            self.tickets, self.keys, self._peers, self._reports, self.count
+        )
+        self.refusals = self._finisher.refusals
+        self._claims = Claims(self.keys, self._finisher, self.count)
+        self._concurrency_limit = ConcurrencyLimit()
+        self._waiting = WaitingCalls(self.queue, self.tickets, self._finisher)
         self._shed_guard = ShedGuard(self.status, self._reports, self._waiting, self.tickets)
         self._quarantined = QuarantinedCalls(
             self.quarantine, self.tickets, self._reports, self._waiting, self.count
@@ -128,7 +130,7 @@
         drop_acked(peer, req["acked"])
         rejection = self._admission.rejection(now, req, self.service)
         if rejection is not None:
-            return [self._endings.refused_at_door(peer, req, *rejection)]
+            return [self._finisher.refused_on_arrival(peer, req, *rejection)]
         if req["key"]:
             reply = self._claims.claim(now, wall_ms, peer, req, self.load())
             if reply is not None:
@@ -149,7 +151,7 @@
         if not ticket.running:
             self.queue.withdraw(ticket_id)
             self.count.withdrawn += 1
-            return self._endings.refused(ticket_id, "no", "withdrawn", 0.0)
+            return self._finisher.refused(ticket_id, "no", "withdrawn", 0.0)
         self.count.cancelled += 1
         return [CancelCall(ticket_id)]
 
@@ -158,7 +160,7 @@
         peer = self._peers.at(link)
         if peer is None:
             return []
-        return [SendTo(link, frame) for frame in self._endings.fates(peer, message["seqs"])]
+        return [SendTo(link, frame) for frame in self._finisher.fates(peer, message["seqs"])]
 
     def finished(self, now: float, ticket_id: int, result: Result) -> list[Action]:
         """Handle the result of a call that was started at the upstream."""
@@ -167,18 +169,20 @@
             return []
         served_s = now - ticket.started
         match result:
-            case Whole():
+            case Complete():
                 self.status.answered(result.status)
                 reports = self._update_pace(now, result.pace)
                 if result.status < SERVER_ERROR:
-                    self._cold.answered()
-                    reports += self._reports.crashes(self.quarantine.answered(now, ticket.identity))
+                    self._cold.record_answer()
+                    reports += self._reports.crashes(
+                        self.quarantine.record_answer(now, ticket.identity)
+                    )
                 reports += self._shed_guard.answered(ticket.started)
                 self._record_concurrency(now, ticket, served_s)
                 started = self._apply(now, self.queue.release(now, served_s))
                 started += self._update_slots(now)
                 return [
-                    *self._endings.answered(now, ticket_id, result, served_s),
+                    *self._finisher.answered(now, ticket_id, result, served_s),
                     *started,
                     *reports,
                 ]
@@ -191,12 +195,12 @@
                 reports = self.set_leaving(REPLACED)
                 waiting = self._waiting.refuse(self.tickets.ids(), REPLACED)
                 return [*reports, *waiting, *self._end_shed(now, ticket_id, REPLACED, 0.0)]
-            case Broken():
+            case Incomplete():
                 self.count.lost += 1
                 self.status.failed()
                 started = self._apply(now, self.queue.release(now, None))
                 ran = "maybe" if result.sent else "no"
-                return [*self._endings.refused(ticket_id, ran, result.reason, 0.5), *started]
+                return [*self._finisher.refused(ticket_id, ran, result.reason, 0.5), *started]
 
     def upstream_crashed(self, now: float, tickets: list[int]) -> list[Action]:
         """Handle a crash of the upstream while these calls were running.
@@ -216,7 +220,7 @@
     def sampled(self, now: float, sample: Sample) -> list[Action]:
         """Handle a sample of the upstream's state; reports changes to ingresses."""
         if sample.cold_s is not None:
-            self._cold.seen(now, sample.cold_s)
+            self._cold.set_remaining(now, sample.cold_s)
         reports = self._update_cold(now)
         if sample.pace:
             reports += self._update_pace(now, sample.pace)
@@ -224,39 +228,39 @@
 
     def set_cold_rate(self, now: float, rate: ColdRate, began: float | None = None) -> list[Action]:
         """Set the call rate of a cold upstream; `began` is when the daemon's process started."""
-        self._cold.bound(now, rate, began)
+        self._cold.set_rate(now, rate, began)
         return self._update_cold(now)
 
     def announced_again(self, now: float, cold_s: float) -> list[Action]:
         """Handle an announcement that changes nothing but the remaining cold time."""
-        self._cold.told(now, cold_s)
+        self._cold.extend(now, cold_s)
         return [*self._update_cold(now), *self.clear_leaving(REPLACED)]
 
     def end_evacuation(self, now: float) -> list[Action]:
         """Take calls again; the upstream was idle and is assumed to have turned cold."""
-        self._cold.assume(now)
+        self._cold.assume_cold(now)
         return [*self._update_cold(now), *self.clear_leaving(EVACUATED)]
 
     def announce(self, now: float, upstream: Announced) -> list[Action]:
         """Handle an announcement of the upstream; state "gone" means that none is known."""
         actions: list[Action] = []
         if self.status.upstream is not None and self.status.is_new_incarnation(upstream):
-            self._cold.replaced()
+            self._cold.reset_on_replacement()
         if self.status.announce(now, upstream):
             actions += self._waiting.refuse(self.tickets.ids(), REPLACED)
-        self._cold.told(now, upstream["cold_ms"] / 1000)
+        self._cold.extend(now, upstream["cold_ms"] / 1000)
         actions += self._update_cold(now)
         self.service = upstream["service"]
-        self._crowding.announced(upstream["slots"])
+        self._concurrency_limit.set_slots(upstream["slots"])
         actions += self._update_slots(now)
         if upstream["state"] == "ready":
             return [*actions, *self.clear_leaving("upstream")]
         return [*actions, *self.set_leaving("upstream")]
 
-    def reshape(self, now: float, shape: Shape) -> list[Action]:
+    def set_queue_limits(self, now: float, limits: QueueLimits) -> list[Action]:
         """Set the limits of the queue; reports a changed number of slots to every ingress."""
-        before, self.queue.shape = self.queue.shape, shape
-        if before.slots == shape.slots:
+        before, self.queue.limits = self.queue.limits, limits
+        if before.slots == limits.slots:
             return []
         return [*self._reports.to_all(), *self._apply(now, self.queue.advance(now))]
 
@@ -330,21 +334,21 @@
         self.status.pace = pace
         match self.queue:
             case DueQueue() as queue:
-                queue.pace.told(now, pace)
+                queue.pace.record(now, pace)
         return self._reports.pace_change(now)
 
     def _record_concurrency(self, now: float, ticket: Ticket, served_s: float) -> None:
         if self.status.upstream is not None:
             route = ticket.request.get("route", "")
-            self._crowding.answered(now, route, ticket.beside, served_s)
+            self._concurrency_limit.record_answer(now, route, ticket.running_at_start, served_s)
 
     def _update_slots(self, now: float) -> list[Action]:
         """Apply the concurrency limit to an upstream that has announced itself."""
         if self.status.upstream is None:
             return []
-        slots = self._crowding.room(now)
-        shape = self.queue.shape._replace(slots=slots, queue=slots * QUEUE_PER_SLOT)
-        return self.reshape(now, shape)
+        slots = self._concurrency_limit.current(now)
+        limits = self.queue.limits._replace(slots=slots, queue=slots * QUEUE_PER_SLOT)
+        return self.set_queue_limits(now, limits)
 
     def _admit(self, now: float, peer: Peer, req: Dispatch) -> list[Action]:
         ticket = Ticket(peer.incarnation, req, now)
@@ -356,9 +360,9 @@
             case SlotQueue() as queue:
                 decision = queue.submit(now, ticket_id, req["urgent"], ticket.start_by)
             case DueQueue() as queue:
-                wish = queue.wish_of(now, req, ticket.start_by, ticket.deadline)
-                ticket.rank = wish.rank
-                decision = queue.submit(now, ticket_id, wish)
+                queued = queue.queued_call(now, req, ticket.start_by, ticket.deadline)
+                ticket.rank = queued.rank
+                decision = queue.submit(now, ticket_id, queued)
         return self._apply(now, [decision])
 
     def _apply(self, now: float, decisions: list[Decision]) -> list[Action]:
@@ -367,16 +371,16 @@
             match decision:
                 case Start(ticket_id) if now > self.status.last_start_at:
                     actions += self._apply(now, self.queue.release(now, None))
-                    actions += self._endings.refused(ticket_id, "no", "upstream-leaving", 0.0)
+                    actions += self._finisher.refused(ticket_id, "no", "upstream-leaving", 0.0)
                 case Start(ticket_id):
                     actions.append(self._start(now, ticket_id))
                 case Refuse(ticket_id, reason, retry_after_s):
-                    actions += self._endings.refused(ticket_id, "no", reason, retry_after_s)
+                    actions += self._finisher.refused(ticket_id, "no", reason, retry_after_s)
         return actions
 
     def _start(self, now: float, ticket_id: int) -> Action:
         ticket = self.tickets.start(ticket_id, now)
-        ticket.beside = self.queue.busy
+        ticket.running_at_start = self.queue.busy
         self.count.dispatched += 1
         self.count.repeats += ticket.request["retried"]
         instance = self.status.instance
@@ -388,6 +392,6 @@
         self.count.turned_away += 1
         started = self._apply(now, self.queue.release(now, None))
         return [
-            *self._endings.refused(ticket_id, "no", reason, retry_after_s, reached=True),
+            *self._finisher.refused(ticket_id, "no", reason, retry_after_s, reached=True),
             *started,
         ]
--- a/foldhoist/delivery/upstream_status.py
+++ b/foldhoist/delivery/upstream_status.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from foldhoist.admission.shedding import Shedding
-from foldhoist.membership.lives import life_of
+from foldhoist.membership.incarnations import incarnation_of
 from foldhoist.routing.sampling import is_change
 
 if TYPE_CHECKING:
@@ -82,7 +82,7 @@
     def is_new_incarnation(self, upstream: Announced) -> bool:
         """Return whether the announcement is of another incarnation than the last one."""
         before = self.upstream
-        return before is None or not life_of(before).is_same(life_of(upstream))
+        return before is None or not incarnation_of(before).is_same(incarnation_of(upstream))
 
     def announce(self, now: float, upstream: Announced) -> bool:
         """Apply an announcement; returns whether the upstream changed its service."""
@@ -143,7 +143,7 @@
         load: Load = {
             "busy": queue.busy,
             "queued": queue.queued,
-            "slots": queue.shape.slots,
+            "slots": queue.limits.slots,
             "service_us": int(queue.service_s * 1e6) if self._answered_any else 0,
             "errors": round(self.errors, 3),
             "state": self._reported_state(),  # type: ignore[typeddict-item]
@@ -157,6 +157,6 @@
     def _reported_state(self) -> str:
         if self.leaving:
             return "leaving"
-        if self.shedding.all and self.state != "down":
+        if self.shedding.sheds_all and self.state != "down":
             return "refusing"
         return "cold" if self.cold and self.state == "warm" else self.state
--- a/tests/unit/delivery/chain.py
+++ b/tests/unit/delivery/chain.py
@@ -13,12 +13,12 @@
 
 import simpy
 
-from foldhoist.admission.slots import Shape
+from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import parse_fleet
 from foldhoist.delivery.call import CallerRequest, Reply
 from foldhoist.delivery.call import SendTo as IngressSendTo
 from foldhoist.delivery.codec import SCHEMA_VERSION
-from foldhoist.delivery.dispatch import Result, SendTo, Shed, StartCall, Whole
+from foldhoist.delivery.dispatch import Complete, Result, SendTo, Shed, StartCall
 from foldhoist.delivery.ingress import Ingress
 from foldhoist.delivery.owner import Owner
 from foldhoist.delivery.services import RetrySlack
@@ -164,7 +164,7 @@
 
     def _owner(self, name: str) -> Owner:
         service = self._fleet["targets"][name]["service"]
-        return Owner(name, service, Shape(SLOTS, SLOTS, 0, 8), 600.0)
+        return Owner(name, service, QueueLimits(SLOTS, SLOTS, 0, 8), 600.0)
 
     def _ingress(self, name: str) -> Ingress:
         slack = RetrySlack(ALLOWED.slack, ALLOWED.window_s)
@@ -232,7 +232,7 @@
             left -= 1
             good = good and each
             if not left:
-                self._finish(owner, ticket, Whole(200 if good else 500, [], b""))
+                self._finish(owner, ticket, Complete(200 if good else 500, [], b""))
 
         for _ in range(self.deployment.calls):
             self._call(owner.name, service, repeat, ended)
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -32,26 +32,26 @@
     Ablation(
         "waiting-for-slow-spells",
         "foldhoist/admission/due.py",
-        "return not self.pace.is_worth_waiting(now, wish.expect_s)",
+        "return not self.pace.is_worth_waiting(now, call.expect_s)",
         "return True",
     ),
     Ablation(
         "pace-in-the-choice",
         "foldhoist/routing/policies.py",
-        "if paces is not None and track.pace:",
+        "if paces is not None and stats.pace:",
         "if False:",
     ),
     Ablation(
         "yielding-ranks",
-        "foldhoist/admission/shares.py",
-        "if decisions.counted(now) >= LEAST_DECISIONS:",
+        "foldhoist/admission/refusal_rates.py",
+        "if decisions.total(now) >= MIN_DECISIONS:",
         "if False:",
     ),
     Ablation(
         "rank-in-the-order",
         "foldhoist/admission/due.py",
-        "RANK_S = 0.02",
-        "RANK_S = 0.0",
+        "RANK_DELAY_S = 0.02",
+        "RANK_DELAY_S = 0.0",
     ),
     Ablation(
         "nested-calls-first",
@@ -62,7 +62,7 @@
     Ablation(
         "late-behind-timely",
         "foldhoist/admission/due.py",
-        "if now + wish.expect_s > (wish.timely or wish.due):",
+        "if now + call.expect_s > (call.on_time_by or call.due):",
         "if False:",
     ),
     Ablation(
@@ -74,19 +74,19 @@
     Ablation(
         "other-owners-after-refusals",
         "foldhoist/delivery/rules.py",
-        "MOST_REFUSALS = 3",
-        "MOST_REFUSALS = 0",
+        "MAX_REFUSALS = 3",
+        "MAX_REFUSALS = 0",
     ),
     Ablation(
         "distance",
         "foldhoist/routing/policies.py",
-        "if track.data_centre != data_centre:",
+        "if stats.data_centre != data_centre:",
         "if False:",
     ),
     Ablation(
         "ejection",
         "foldhoist/routing/picker.py",
-        "if track.errors >= EJECT_ERRORS or self._is_slow(track.latency_s, track.name):",
+        "if stats.errors >= EJECT_ERROR_SHARE or self._is_slow(stats.latency_s, stats.name):",
         "if False:",
     ),
     Ablation(
@@ -97,27 +97,27 @@
     ),
     Ablation(
         "reports-of-load",
-        "foldhoist/routing/track.py",
-        "return self.in_flight + trust * self.faded_others(now)",
+        "foldhoist/routing/upstream_stats.py",
+        "return self.in_flight + trust * self.decayed_other_calls(now)",
         "return float(self.in_flight)",
     ),
     Ablation(
         "trust-in-reports-learned",
         "foldhoist/routing/trust.py",
-        "self.weight = min(1.0, max(0.0, 2.0 * (1.0 - self._by_report / self._by_mean)))",
+        "self.weight = min(1.0, max(0.0, 2.0 * (1.0 - self._report_error / self._mean_error)))",
         "self.weight = 1.0",
     ),
     Ablation(
         "retry-slack",
         "foldhoist/delivery/services.py",
-        "HELD_SHARE = 0.4",
-        "HELD_SHARE = 0.0",
+        "SLACK_CAPACITY_SHARE = 0.4",
+        "SLACK_CAPACITY_SHARE = 0.0",
     ),
     Ablation(
         "slots-below-the-knee",
-        "foldhoist/admission/crowding.py",
-        "SLOWER = 1.3",
-        "SLOWER = 1e9",
+        "foldhoist/admission/concurrency_limit.py",
+        "MAX_SLOWDOWN = 1.3",
+        "MAX_SLOWDOWN = 1e9",
     ),
 )
 
