--- a/foldhoist/daemon/peers_task.py
+++ b/foldhoist/daemon/peers_task.py
@@ -255,15 +255,12 @@
             return False
         new = self._registration()
         old = self._record
-        same = (
-            old._replace(incarnation=new.incarnation, ended=new.ended, quarantined=new.quarantined)
-            == new
-        )
-        held = {each.call for each in old.quarantined}
+        same = old._replace(incarnation=new.incarnation, ended=new.ended, held=new.held) == new
+        held = {each.call for each in old.held}
         return (
             same
             and set(new.ended) <= set(old.ended)
-            and all(each.call in held for each in new.quarantined)
+            and all(each.call in held for each in new.held)
         )
 
     async def _until_done(self, step: Callable[[], Any]) -> None:
@@ -291,7 +288,7 @@
         """Take in which calls end upstreams, as this daemon and others have written it."""
         now, wall_ms = self._loop.time(), int(time.time() * 1000)
         for record in records:
-            suspects = [suspect_of(each, wall_ms) for each in record.quarantined]
+            suspects = [suspect_of(each, wall_ms) for each in record.held]
             if record.name == self.registry.name:
                 self._quarantine.restore(now, suspects)
             else:
--- a/foldhoist/membership/registry.py
+++ b/foldhoist/membership/registry.py
@@ -54,7 +54,7 @@
     data_centre: str
     ended: tuple[UpstreamIncarnation, ...] = ()
     service: str = ""
-    quarantined: tuple[QuarantinedCall, ...] = ()
+    held: tuple[QuarantinedCall, ...] = ()
 
     @property
     def has_address(self) -> bool:
