--- a/foldhoist/membership/registry.py
+++ b/foldhoist/membership/registry.py
@@ -35,7 +35,7 @@
 
 
 class QuarantinedCall(NamedTuple):
-    """A quarantined call, after which upstreams crashed, as the store keeps it.
+    """A quarantined call, during which upstreams have crashed, as the store keeps it.
 
     `at_ms` is the time of the last crash, wall clock in milliseconds.
     """
@@ -46,7 +46,11 @@
 
 
 class Registration(NamedTuple):
-    """Record of a daemon in the platform's store; `frames` is the address that it listens on."""
+    """Record of a daemon in the platform's store.
+
+    `frames` is the address that it listens on, `ended` the incarnations of its upstream that have
+    ended, `service` the service of its upstream, and `held` the calls in quarantine.
+    """
 
     name: str
     incarnation: str
--- a/foldhoist/membership/view.py
+++ b/foldhoist/membership/view.py
@@ -25,9 +25,9 @@
             for target_name, target in by_service.get(service, {}).items()
             if target["state"] == "serving"
         }
-        near = [each for each in serving if serving[each]["data_centre"] == data_centre]
-        far = [each for each in serving if serving[each]["data_centre"] != data_centre]
-        selected = _limit(ranked(near, name), ranked(far, name), cfg["track"])
+        local_names = [each for each in serving if serving[each]["data_centre"] == data_centre]
+        remote_names = [each for each in serving if serving[each]["data_centre"] != data_centre]
+        selected = _limit(ranked(local_names, name), ranked(remote_names, name), cfg["track"])
         chosen[service] = [
             Member(each, serving[each]["data_centre"], serving[each]["slots"]) for each in selected
         ]
@@ -44,9 +44,9 @@
     return found
 
 
-def _limit(near: list[str], far: list[str], limit: int) -> list[str]:
-    if len(near) + len(far) <= limit:
-        return near + far
-    remote = min(len(far), max(1, limit // REMOTE_DIVISOR))
-    local = min(len(near), limit - remote)
-    return near[:local] + far[: limit - local]
+def _limit(local_names: list[str], remote_names: list[str], limit: int) -> list[str]:
+    if len(local_names) + len(remote_names) <= limit:
+        return local_names + remote_names
+    remote = min(len(remote_names), max(1, limit // REMOTE_DIVISOR))
+    local = min(len(local_names), limit - remote)
+    return local_names[:local] + remote_names[: limit - local]
--- a/foldhoist/routing/picker.py
+++ b/foldhoist/routing/picker.py
@@ -141,7 +141,7 @@
             if stats.trial_left:
                 trial = trial or self._ready_for_trial(stats, now)
                 continue
-            if self._is_within_ramp(stats, now):
+            if self._has_ramp_capacity(stats, now):
                 candidates.append(stats)
         if trial is not None:
             return self._make_choice(trial, "trial", [*candidates, trial], now, explain)
@@ -298,7 +298,7 @@
             stats if stats.in_flight == 0 and now - stats.last_result_at >= TRIAL_PAUSE_S else None
         )
 
-    def _is_within_ramp(self, stats: UpstreamStats, now: float) -> bool:
+    def _has_ramp_capacity(self, stats: UpstreamStats, now: float) -> bool:
         age = now - stats.ramp_start
         if age >= RAMP_S:
             return True
--- a/foldhoist/routing/policies.py
+++ b/foldhoist/routing/policies.py
@@ -164,8 +164,8 @@
             times.append(stats.latency_s if stats.results else UNKNOWN_SERVICE_S)
     fastest = min(times)
     costs: list[float] = []
-    for stats, service in zip(candidates, times, strict=True):
-        cost = fastest if service <= fastest * SIMILAR_FACTOR else service
+    for stats, time_s in zip(candidates, times, strict=True):
+        cost = fastest if time_s <= fastest * SIMILAR_FACTOR else time_s
         if stats.in_flight or stats.other_calls:
             cost *= _occupancy_factor(stats, now, trust)
         if stats.errors > TOLERATED_ERRORS:
