--- a/foldhoist/admission/retries.py
+++ b/foldhoist/admission/retries.py
@@ -10,7 +10,7 @@
 
 
 class SlackPart(NamedTuple):
-    """One daemon's part of the slack, the retries that all daemons share beside a share of calls.
+    """One daemon's part of the slack: retries that all daemons share, besides a share of calls.
 
     The part holds up to `capacity` retries and gains `per_s` a second. Tokens earned beyond that
     decay with the time constant `window_s`, seconds. With a capacity below one, a fraction of a
--- a/tests/unit/admission/test_concurrency_limit.py
+++ b/tests/unit/admission/test_concurrency_limit.py
@@ -1,6 +1,6 @@
 """Tests of how many slots of an upstream are used, as learned from its answers.
 
-They guard against calls that wait beside unused slots of an upstream that keeps its speed.
+They guard against calls that wait in spite of unused slots of an upstream that keeps its speed.
 """
 
 from __future__ import annotations
