--- a/tests/unit/delivery/chain.py
+++ b/tests/unit/delivery/chain.py
@@ -1,7 +1,7 @@
-"""A chain of services on simpy: the real ingress and owner objects, and upstreams that call on.
+"""Simulates a chain of services on simpy with real Ingress and Owner objects.
 
-Nothing here decides: every choice, refusal and retry is made by the objects that run in a daemon.
-Arrivals are counted at the upstreams, from what they saw alone. Times are seconds.
+The upstreams are simulated: each calls the next service. Every choice, refusal and retry is made by
+the Ingress and Owner objects. Arrivals are counted at the upstreams. Times are seconds.
 """
 
 from __future__ import annotations
@@ -32,19 +32,19 @@
     from foldhoist.schema.messages import Dispatch, Hello
 
 ALLOWED = Allowance()
-"""Repeats that are allowed: a service of the chain retries half of that share of its calls."""
+"""Allowed repeats; each service of the chain may retry half of that share of its calls."""
 WORK_S = 0.02
-"""What an upstream takes for a call, beside the calls that it makes."""
+"""Time of a call at an upstream without the calls that it makes, seconds."""
 ONE_WAY_S = 0.0003
-"""One way between two daemons."""
+"""Latency of a frame between two daemons, seconds."""
 OWNER_TICK_S = 0.1
-"""Time between two ticks of an owner."""
+"""Time between two ticks of an owner, seconds."""
 SLOTS = 200
-"""Slots of each upstream: none is ever short of them."""
+"""Slots of each upstream; high enough that no call waits for one."""
 
 
 class Deployment(NamedTuple):
-    """A chain: upstreams of each service call the next one, `calls` times for a call."""
+    """The shape of a chain; for each call an upstream calls the next service `calls` times."""
 
     depth: int = 3
     hosts: int = 4
@@ -54,21 +54,21 @@
 
 
 class Arrivals:
-    """What the upstreams of one service saw, and what was asked of it; moments in order."""
+    """Calls that the upstreams of one service got; `requests` and `repeats` are sorted times."""
 
     def __init__(self) -> None:
         self.seen: set[str] = set()
-        self.asked: list[float] = []
+        self.requests: list[float] = []
         self.repeats: list[float] = []
 
     @property
     def most_over(self) -> float:
-        """Return by how many the repeats of the worst window exceed what is allowed in it."""
-        return ALLOWED.most_over(self.repeats, self.asked)
+        """Return by how many the repeats of the worst window exceed its allowance."""
+        return ALLOWED.most_over(self.repeats, self.requests)
 
 
 class Chain:
-    """Callers call the first service; the last one does what `last` says."""
+    """A running chain: callers call the first service, and `last` gives the results of the last."""
 
     def __init__(
         self, deployment: Deployment, last: Callable[[float, random.Random], Result], seed: int
@@ -82,39 +82,37 @@
         self.names = list(self._fleet["targets"])
         self.arrivals = {service: Arrivals() for service in self._fleet["services"]}
         self._inherited: dict[str, bool] = {}
-        self._then: dict[tuple[str, int], Callable[[bool], None]] = {}
+        self._callbacks: dict[tuple[str, int], Callable[[bool], None]] = {}
         self._next_call = 0
         self._ticks: dict[str, float] = {}
         self._numbers = count(1)
         self._links: dict[tuple[str, str], int] = {}
-        self._ends: dict[int, str] = {}
-        self._lives = dict.fromkeys(self.names, 1)
+        self._ingress_of_link: dict[int, str] = {}
+        self._incarnations = dict.fromkeys(self.names, 1)
         self.owners = {name: self._owner(name) for name in self.names}
         self.ingresses = {name: self._ingress(name) for name in self.names}
         for name, target in product(self.names, self.names):
             self._link(name, target)
 
     def run(self, length_s: float) -> None:
-        """Let callers call for this long, and wait until all has ended."""
+        """Let callers call for this long, then run until the calls have ended."""
         self._until = length_s
         self.after(OWNER_TICK_S, self._tick_owners)
-        self.after(0.0, self._arrive)
+        self.after(0.0, self._send_from_caller)
         self.env.run(until=length_s + 2.0)
 
-    # Faults
-
     def cut(self, name: str, target: str, for_s: float) -> None:
-        """Let the connection of an ingress to an owner fall, with all that is on its way."""
+        """Drop the connection of an ingress to an owner with the frames under way."""
         number = self._links.pop((name, target), None)
         if number is None:
             return
         self.owners[target].link_lost(self.env.now, number)
-        self._carry_ingress(name, self.ingresses[name].link_lost(self.env.now, target))
+        self._apply_ingress(name, self.ingresses[name].link_lost(self.env.now, target))
         self.after(for_s, partial(self._link, name, target))
 
     def restart(self, name: str, for_s: float) -> None:
-        """Let a daemon end and start again; nobody hears what its upstream makes of its calls."""
-        self._lives[name] += 1
+        """Restart a daemon; the results of its upstream's calls are lost."""
+        self._incarnations[name] += 1
         for each, target in [link for link in self._links if name in link]:
             if target == name:
                 self.ingresses[each].link_lost(self.env.now, target)
@@ -125,43 +123,41 @@
         self.owners[name] = self._owner(name)
         self.ingresses[name] = self._ingress(name)
         self._ticks.pop(name, None)
-        for owner, call_id in [key for key in self._then if key[0] == name]:
-            self._then.pop((owner, call_id))(False)
+        for owner, call_id in [key for key in self._callbacks if key[0] == name]:
+            self._callbacks.pop((owner, call_id))(False)
 
     def reconfigure(self) -> None:
-        """Let every daemon adopt the configuration anew, under the next number."""
+        """Let every daemon adopt the same configuration with the next generation."""
         for name, ingress in self.ingresses.items():
             known = tracked(self._fleet, name, "a")
             number = ingress.generation + 1
             actions = ingress.adopt(
                 self.env.now, number, self._fleet, known, homes(self._fleet), len(self.names)
             )
-            self._carry_ingress(name, actions)
+            self._apply_ingress(name, actions)
 
     def _link(self, name: str, target: str) -> None:
         if (name, target) in self._links:
             return
         number = next(self._numbers)
         self._links[(name, target)] = number
-        self._ends[number] = name
+        self._ingress_of_link[number] = name
         hello: Hello = {
             "name": name,
-            "incarnation": f"{name} {self._lives[name]}",
+            "incarnation": f"{name} {self._incarnations[name]}",
             "epoch": number,
             "schema": SCHEMA_VERSION,
         }
-        self._carry_owner(target, self.owners[target].hello(self.env.now, number, hello))
-        life = f"{target} {self._lives[target]}"
-        self._carry_ingress(name, self.ingresses[name].link_up(self.env.now, target, life))
+        self._apply_owner(target, self.owners[target].hello(self.env.now, number, hello))
+        incarnation = f"{target} {self._incarnations[target]}"
+        self._apply_ingress(name, self.ingresses[name].link_up(self.env.now, target, incarnation))
 
     def _tick_owners(self) -> None:
         for name, owner in self.owners.items():
-            self._carry_owner(name, owner.tick(self.env.now))
+            self._apply_owner(name, owner.tick(self.env.now))
         if self.env.now < self._until + 1.0:
             self.after(OWNER_TICK_S, self._tick_owners)
 
-    # Building
-
     def _owner(self, name: str) -> Owner:
         service = self._fleet["targets"][name]["service"]
         return Owner(name, service, QueueLimits(SLOTS, SLOTS, 0, 8), 600.0)
@@ -174,12 +170,10 @@
         ingress.adopt(self.env.now, 1, self._fleet, known, homes(self._fleet), len(self.names))
         return ingress
 
-    # Callers and upstreams
-
-    def _arrive(self) -> None:
+    def _send_from_caller(self) -> None:
         if self.env.now >= self._until:
             return
-        self.after(self._rng.expovariate(self.deployment.per_s), self._arrive)
+        self.after(self._rng.expovariate(self.deployment.per_s), self._send_from_caller)
         unsafe = self._rng.random() < self.deployment.unsafe_share
         method = "POST" if unsafe else "GET"
         self._call(self._rng.choice(self.names), "s0", False, lambda good: None, method)
@@ -189,24 +183,24 @@
         name: str,
         service: str,
         repeat: bool,
-        then: Callable[[bool], None],
+        on_end: Callable[[bool], None],
         method: str = "GET",
     ) -> None:
-        """Send a call at a host; `repeat` tells that it is a part of a run that is a repeat."""
+        """Send a call at a host; `repeat` says that the run that makes it is a repeat."""
         self._next_call += 1
         call = f"{self._next_call:016x}"
         self._inherited[call] = repeat
         if not repeat:
-            self.arrivals[service].asked.append(self.env.now)
-        self._then[(name, self._next_call)] = then
+            self.arrivals[service].requests.append(self.env.now)
+        self._callbacks[(name, self._next_call)] = on_end
         trace = f"00-{call:0>32}-{call}-00"
         req = CallerRequest(method, f"/{service}/x", [], b"", 0.0, False, "", 0, 0, repeat, trace)
         req = req._replace(name=call)
         ingress = self.ingresses[name]
-        self._carry_ingress(name, ingress.arrive(self.env.now, self._next_call, req))
+        self._apply_ingress(name, ingress.arrive(self.env.now, self._next_call, req))
 
     def _run(self, name: str, ticket: int, req: Dispatch) -> None:
-        """Let the upstream of a host work on a call."""
+        """Run a call at the upstream of a host."""
         owner = self.owners[name]
         service = self._fleet["targets"][name]["service"]
         seen = self.arrivals[service]
@@ -239,11 +233,9 @@
 
     def _finish(self, owner: Owner, ticket: int, result: Result) -> None:
         if self.owners[owner.name] is owner:
-            self._carry_owner(owner.name, owner.finished(self.env.now, ticket, result))
-
-    # Actions of the real objects
+            self._apply_owner(owner.name, owner.finished(self.env.now, ticket, result))
 
-    def _carry_ingress(self, name: str, actions: list[Any]) -> None:
+    def _apply_ingress(self, name: str, actions: list[Any]) -> None:
         for action in actions:
             match action:
                 case IngressSendTo(target, frame) if (name, target) in self._links:
@@ -251,10 +243,10 @@
                     self.after(ONE_WAY_S, partial(self._to_owner, target, number, frame))
                 case Reply(call_id, verdict, _):
                     good = isinstance(verdict, Answered) and verdict.response.status == 200
-                    self._then.pop((name, call_id), _nobody)(good)
+                    self._callbacks.pop((name, call_id), _ignore_end)(good)
         self._set_tick(name)
 
-    def _carry_owner(self, target: str, actions: list[Any]) -> None:
+    def _apply_owner(self, target: str, actions: list[Any]) -> None:
         for action in actions:
             match action:
                 case StartCall(ticket, req):
@@ -263,28 +255,28 @@
                     self.after(ONE_WAY_S, partial(self._to_ingress, target, link, frame))
 
     def _to_owner(self, target: str, link: int, frame: Any) -> None:
-        """Carry a frame, unless its connection has fallen meanwhile."""
+        """Deliver a frame, unless its connection was lost meanwhile."""
         owner, now = self.owners[target], self.env.now
-        if self._links.get((self._ends[link], target)) != link:
+        if self._links.get((self._ingress_of_link[link], target)) != link:
             return
         match frame.kind:
             case "Dispatch":
-                self._carry_owner(target, owner.dispatch(now, 0, link, frame.body))
+                self._apply_owner(target, owner.dispatch(now, 0, link, frame.body))
             case "Withdraw":
-                self._carry_owner(target, owner.withdraw(now, link, frame.body))
+                self._apply_owner(target, owner.withdraw(now, link, frame.body))
             case "FateAsk":
-                self._carry_owner(target, owner.fate(now, link, frame.body))
+                self._apply_owner(target, owner.fate(now, link, frame.body))
 
     def _to_ingress(self, target: str, link: int, frame: Any) -> None:
-        name, now = self._ends[link], self.env.now
+        name, now = self._ingress_of_link[link], self.env.now
         ingress = self.ingresses[name]
         if self._links.get((name, target)) != link:
             return
         match frame.kind:
             case "Answer":
-                self._carry_ingress(name, ingress.answer(now, target, frame.body))
+                self._apply_ingress(name, ingress.answer(now, target, frame.body))
             case "Refusal":
-                self._carry_ingress(name, ingress.refusal(now, target, frame.body))
+                self._apply_ingress(name, ingress.refusal(now, target, frame.body))
 
     def _set_tick(self, name: str) -> None:
         at = self.ingresses[name].next_at()
@@ -295,15 +287,15 @@
 
     def _tick(self, name: str) -> None:
         self._ticks.pop(name, None)
-        self._carry_ingress(name, self.ingresses[name].tick(self.env.now))
+        self._apply_ingress(name, self.ingresses[name].tick(self.env.now))
 
     def after(self, delay: float, run: Callable[[], Any]) -> None:
-        """Run something later, after `delay` seconds."""
+        """Call `run` after `delay` seconds."""
         self.env.timeout(delay).callbacks.append(lambda event: run())
 
 
-def _nobody(good: bool) -> None:
-    """Stand in for a caller whose daemon has ended meanwhile."""
+def _ignore_end(good: bool) -> None:
+    """Callback of a call whose daemon was restarted meanwhile."""
 
 
 def _configuration(deployment: Deployment) -> str:
--- a/tests/unit/delivery/test_ingress.py
+++ b/tests/unit/delivery/test_ingress.py
@@ -67,7 +67,7 @@
 
 
 def attempts_where_all_refuse(ingress: Ingress, calls: int, ran: str, reached: bool) -> int:
-    """Return the attempts that an ingress makes of so many calls, one a second."""
+    """Return the number of attempts that an ingress makes for this many calls, one a second."""
     attempts = 0
     for number in range(calls):
         waiting = sent(ingress.arrive(float(number), number, request()))
@@ -104,14 +104,14 @@
     assert attempts <= 1000 * 1.1 + 5
 
 
-def test_what_upstreams_turn_away_counts_as_arrivals_and_what_owners_refuse_does_not() -> None:
+def test_calls_shed_by_upstreams_count_as_arrivals_and_refusals_by_owners_do_not() -> None:
     for reached, most in ((True, 100 * 1.1 + 5), (False, 100 * 4)):
         attempts = attempts_where_all_refuse(make(12), 100, "no", reached)
         assert attempts <= most
         assert reached or attempts == most
 
 
-def test_only_what_follows_an_arrival_is_told_as_a_further_attempt() -> None:
+def test_only_an_attempt_after_an_arrival_is_marked_as_retried() -> None:
     for reached in (True, False):
         ingress = make()
         for number in range(20):
@@ -123,17 +123,17 @@
         assert again.frame.body["retried"] is reached
 
 
-def test_the_owner_is_told_how_likely_a_call_is_a_part_of_a_repeat() -> None:
-    for retried, share, told in ((None, 0.3, 30), (None, 0.0, None), (False, 0.3, None)):
+def test_a_dispatch_carries_the_probability_of_being_a_repeat() -> None:
+    for retried, share, percent in ((None, 0.3, 30), (None, 0.0, None), (False, 0.3, None)):
         ingress = make()
         (first,) = sent(ingress.arrive(1.0, 1, request(retried=retried, parent_repeat=share)))
         assert first.frame.body["retried"] is False
-        assert first.frame.body.get("repeat_percent") == told
+        assert first.frame.body.get("repeat_percent") == percent
     (first,) = sent(make().arrive(1.0, 1, request(retried=True)))
     assert first.frame.body["retried"] is True
 
 
-def test_a_late_answer_is_nobodys() -> None:
+def test_a_late_answer_is_counted_and_dropped() -> None:
     ingress = make()
     (first,) = sent(ingress.arrive(1.0, 1, request()))
     seq = first.frame.body["seq"]
@@ -144,13 +144,13 @@
     assert ingress.count.late == 1
 
 
-def test_a_call_parked_for_a_first_connection_goes_when_it_stands() -> None:
+def test_a_parked_call_is_sent_when_a_connection_is_made() -> None:
     ingress = make(linked=False)
     assert replies(ingress.arrive(1.0, 1, request())) == []
     assert len(sent(ingress.link_up(1.1, "depo-1", "life-1"))) == 1
 
 
-def test_a_parked_call_is_refused_soon_and_truly() -> None:
+def test_a_parked_call_is_refused_when_its_wait_ends() -> None:
     ingress = make(linked=False)
     ingress.arrive(1.0, 1, request())
     at = ingress.next_at()
@@ -158,7 +158,7 @@
     assert replies(ingress.tick(at)) == [NotRun("no-upstream-connected", 1.0)]
 
 
-def test_a_parked_call_is_held_while_it_can_still_be_on_time() -> None:
+def test_a_parked_call_waits_while_it_can_still_be_on_time() -> None:
     for budget_s, objective_ms, usual_s, longest_s in (
         (0.2, 0, 0.0, 0.2),
         (9.0, 0, 0.0, MAX_PARK_S),
@@ -184,7 +184,7 @@
     assert replies(ingress.arrive(9.1, 3, request())) == []
 
 
-def test_an_owner_of_another_life_cannot_say_no() -> None:
+def test_a_call_may_have_run_if_its_owner_restarted() -> None:
     ingress = make()
     (first,) = sent(ingress.arrive(1.0, 1, request("POST")))
     assert ingress.link_lost(1.1, first.target) == []
@@ -192,7 +192,7 @@
     assert replies(ended) == [MayHaveRun("owner-restarted")]
 
 
-def test_an_owner_of_the_same_life_is_asked() -> None:
+def test_an_owner_of_the_same_incarnation_is_asked_for_outcomes() -> None:
     ingress = make()
     (first,) = sent(ingress.arrive(1.0, 1, request("POST")))
     ingress.link_lost(1.1, first.target)
@@ -214,15 +214,15 @@
     (withdrawn,) = sent(ended)
     assert (withdrawn.target, withdrawn.frame.kind) == (first.target, "Withdraw")
     (reply,) = [each for each in ended if isinstance(each, Reply)]
-    told = [(attempt.target, attempt.result) for attempt in reply.record.attempts]
-    assert told == [(second.target, "answered"), (first.target, "withdrawn")]
+    results = [(attempt.target, attempt.result) for attempt in reply.record.attempts]
+    assert results == [(second.target, "answered"), (first.target, "withdrawn")]
 
 
 def suspect(call: str, *crashes: str) -> Any:
     return {"call": call, "crashes": list(crashes), "refuted": [], "age_ms": 0}
 
 
-def test_a_call_under_which_upstreams_ended_is_refused_at_once_and_told_when_to_come_back() -> None:
+def test_a_quarantined_call_is_refused_with_the_remaining_time() -> None:
     quarantine = Quarantine("life")
     ingress = make(quarantine=quarantine)
     call = identity_of("GET", "/depo/x", [], b"", "")
@@ -232,7 +232,7 @@
     assert sent(ingress.arrive(11.0, 2, request(path="/depo/y")))
 
 
-def test_it_is_not_sent_again_when_the_second_upstream_has_ended_under_it() -> None:
+def test_a_call_is_not_retried_after_a_second_upstream_crashed() -> None:
     quarantine = Quarantine("life")
     ingress = make(quarantine=quarantine)
     (first,) = sent(ingress.arrive(1.0, 1, request()))
@@ -242,7 +242,7 @@
     assert [type(each) for each in replies(ended)] == [MayHaveRun]
 
 
-def test_a_call_under_which_one_has_ended_is_not_hedged() -> None:
+def test_a_suspect_call_is_not_hedged() -> None:
     for suspected in (False, True):
         quarantine = Quarantine("life")
         ingress = make(quarantine=quarantine)
--- a/tests/unit/delivery/test_keys.py
+++ b/tests/unit/delivery/test_keys.py
@@ -89,16 +89,16 @@
     assert denied == Deny("maybe", "key-past-its-window", 600.0)
 
 
-def test_a_uuid7_tells_when_it_was_issued() -> None:
+def test_the_issue_time_is_read_from_a_uuid7() -> None:
     assert uuid7_issued_ms("01890a5d-ac96-774b-bcce-b302099a8057") == 0x01890A5DAC96
     assert uuid7_issued_ms("9b2e4c1a-0000-4000-8000-000000000000") == 0
     assert uuid7_issued_ms("order 17") == 0
 
 
 class HomesMachine(RuleBasedStateMachine):
-    """Three homes, changing configurations, restarts, lost and late handovers.
+    """Three homes with changing configurations, restarts, and lost and late handovers.
 
-    Configurations differ in which names may be homes. Whatever happens, no key runs twice.
+    Configurations differ in which targets may be homes. No key may run twice.
     """
 
     @initialize()
@@ -179,7 +179,7 @@
 
     @rule(number=st.integers(0, 3), back=st.integers(0, 2))
     def send(self, number: int, back: int) -> None:
-        """Send a key to its home by one of the latest configurations."""
+        """Send a call with a key to its home by one of the latest configurations."""
         key = f"k{number}"
         issued = self.issued.setdefault(key, self.wall_ms)
         name = home(self.serving[max(1, self.generation - back)], key)
@@ -206,26 +206,26 @@
 
 
 def ignore_pending(self: KeyTable, wall_ms: int, *args: Any) -> frozenset[str]:
-    """Runs moved keys without waiting for their former homes."""
+    """Mutant of `adopt`: runs moved keys without waiting for their former homes."""
     ADOPT(self, wall_ms, *args)
     self._pending = set()
     return frozenset()
 
 
 def ignore_gaps(self: KeyTable, wall_ms: int, *args: Any) -> frozenset[str]:
-    """Believes that it has known its keys for ever."""
+    """Mutant of `adopt`: assumes that no run of its keys is unknown to it."""
     pending = ADOPT(self, wall_ms, *args)
     self._own_since_ms = self._moved_since_ms = 0
     return pending
 
 
 def export_nothing(self: KeyTable, now: float, target: str) -> list[Any]:
-    """Hands nothing over."""
+    """Mutant of `export`: hands nothing over."""
     return []
 
 
 def export_only_answered(self: KeyTable, now: float, target: str) -> list[Any]:
-    """Hands over only the keys that have an answer, not those that may have run."""
+    """Mutant of `export`: hands over only keys with an answer, not those that may have run."""
     return [state for state in EXPORT(self, now, target) if state["ran"] == "answered"]
 
 
@@ -233,7 +233,7 @@
 
 
 def runs_of_a_moved_key(how: str, hand_over: bool) -> int:
-    """Run a key at its home, let it move by a configuration, send it again; return its runs."""
+    """Run a key at its home, move it by a configuration, send it again; returns its runs."""
     tables = {name: KeyTable(name, 600.0) for name in NAMES}
     for name in NAMES:
         tables[name].adopt(0, 1, NAMES, NAMES)
@@ -253,7 +253,7 @@
 
 
 def exchange(tables: dict[str, KeyTable], askers: list[str]) -> None:
-    """Let former homes answer."""
+    """Hand over the keys of all former homes."""
     for asker in askers:
         for former in list(tables[asker].pending):
             keys = tables[former]
--- a/tests/unit/delivery/test_quota_gate.py
+++ b/tests/unit/delivery/test_quota_gate.py
@@ -1,4 +1,4 @@
-"""What becomes of credit at an ingress: a call that did not run costs its customer nothing."""
+"""Tests of credit at an ingress: a call that did not run returns its credit."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def limited() -> Any:
-    """Return an ingress with a customer whose quota other hosts keep."""
+    """Return an ingress with a customer whose quota servers are other hosts."""
     ingress = make()
     fleet, faults = parse_fleet(fleet_text(3) + CUSTOMER, "x")
     assert not faults
@@ -35,8 +35,8 @@
 
 def credit(ask: SendTo, granted: int, again_ms: int = 0) -> Any:
     body: Any = ask.frame.body
-    told = {"ask": body["ask"], "known": True, "granted": granted, "again_ms": again_ms}
-    return {**told, "scarce": bool(again_ms)}
+    reply = {"ask": body["ask"], "known": True, "granted": granted, "again_ms": again_ms}
+    return {**reply, "scarce": bool(again_ms)}
 
 
 def call(ingress: Any, now: float, number: int) -> list[Any]:
@@ -56,7 +56,7 @@
     assert "scarce" not in sent.frame.body
 
 
-def test_beyond_the_quota_it_is_refused_with_a_time_and_nothing_is_asked_for_a_while() -> None:
+def test_a_call_over_quota_is_refused_and_no_credit_is_asked_for_a_while() -> None:
     ingress = limited()
     (ask,) = asked(call(ingress, 1.0, 1))
     (verdict,) = replies(ingress.credited(1.01, credit(ask, 0, again_ms=2000)))
@@ -92,18 +92,18 @@
     assert asked(call(ingress, 1.1, 2))
 
 
-def test_a_keeper_that_does_not_answer_is_told_and_the_next_one_is_asked() -> None:
+def test_a_quota_server_that_does_not_answer_is_notified_and_the_next_one_asked() -> None:
     ingress = limited()
     (ask,) = asked(call(ingress, 1.0, 1))
-    told, again = asked(ingress.tick(1.3))
-    assert (told.target, told.frame.body["elsewhere"]) == (ask.target, True)
+    notified, again = asked(ingress.tick(1.3))
+    assert (notified.target, notified.frame.body["elsewhere"]) == (ask.target, True)
     assert again.target != ask.target
     actions = ingress.tick(1.6)
     (verdict,) = replies(actions)
     assert (verdict.reason, verdict.status) == ("quota-unknown", 503)
 
 
-def test_a_caller_that_leaves_while_its_call_waits_takes_nothing() -> None:
+def test_a_caller_that_disconnects_while_its_call_waits_uses_no_credit() -> None:
     ingress = limited()
     (ask,) = asked(call(ingress, 1.0, 1))
     ingress.caller_disconnected(1.005, 1)
@@ -111,7 +111,7 @@
     assert dispatched(call(ingress, 1.02, 2))
 
 
-def test_calls_that_wait_run_when_the_customer_has_no_quota_any_more() -> None:
+def test_waiting_calls_run_when_the_quota_is_removed() -> None:
     ingress = limited()
     call(ingress, 1.0, 1)
     fleet, _ = parse_fleet(
@@ -128,13 +128,8 @@
     assert (verdict.reason, verdict.status) == ("no-api-key", 401)
 
 
-def test_what_a_host_used_itself_it_does_not_lend_as_well() -> None:
-    """A share of a quota is lent or used once, never both.
-
-    Symptom: none seen in a play. Sequence: two keepers do not answer, the host goes by its own
-    share, then the second of them answers again. Cause: the time for which it said to lend to that
-    one went on meanwhile. Figures: 1,300 ms were lent that the host had used itself.
-    """
+def test_a_host_does_not_lend_the_time_in_which_it_used_its_own_share() -> None:
+    """Guards against a share of a quota that is both lent and used by the host itself."""
     ingress = limited()
     call(ingress, 1.0, 1)
     _, second = asked(ingress.tick(1.3))
--- a/tests/unit/delivery/test_repeats.py
+++ b/tests/unit/delivery/test_repeats.py
@@ -1,4 +1,4 @@
-"""Tests of the share of repeats among the calls that an upstream got lately."""
+"""Tests of the share of repeats among an upstream's recent calls."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.unit.daemon.calls import dispatch_of
 
 
-def test_the_share_follows_what_begins() -> None:
+def test_the_share_follows_started_calls() -> None:
     repeats = StartedRepeats()
     assert repeats.share == 0.0
     for number in range(1000):
@@ -19,7 +19,7 @@
     assert repeats.share < 0.01
 
 
-def test_an_upstream_that_runs_nothing_sends_no_parts_of_repeats() -> None:
+def test_the_share_is_zero_while_no_call_runs() -> None:
     tickets = Tickets(None)
     number = tickets.add(Ticket("in", {**dispatch_of(), "retried": True}, 0.0))
     tickets.start(number, 0.0)
@@ -28,7 +28,7 @@
     assert tickets.repeat_share == 0.0
 
 
-def test_a_share_is_passed_on() -> None:
+def test_a_dispatched_probability_counts_as_a_share() -> None:
     tickets = Tickets(None)
     tickets.start(tickets.add(Ticket("in", {**dispatch_of(), "repeat_percent": 30}, 0.0)), 0.0)
     assert tickets.repeat_share == 0.3
