--- a/foldhoist/delivery/load_reports.py
+++ b/foldhoist/delivery/load_reports.py
@@ -64,8 +64,8 @@
         """Report suspected calls to every ingress, and have them passed on to other daemons."""
         if not suspects:
             return []
-        told = crashes_frame(suspects)
-        return [*(SendTo(link, told) for link in self._peers.links()), Spread(suspects)]
+        frame = crashes_frame(suspects)
+        return [*(SendTo(link, frame) for link in self._peers.links()), Spread(suspects)]
 
     def _send_to(self, links: list[int]) -> list[Action]:
         report = Frame("Report", {"load": self.load()})
--- a/foldhoist/delivery/pieces.py
+++ b/foldhoist/delivery/pieces.py
@@ -103,9 +103,9 @@
         if not piece["last"]:
             return None
         del self._partials[piece["number"]]
-        whole = b"".join(partial.parts)
-        self._buffered_bytes -= len(whole)
-        return {**partial.body, "body": whole}
+        joined = b"".join(partial.parts)
+        self._buffered_bytes -= len(joined)
+        return {**partial.body, "body": joined}
 
     def _add_buffered(self, part: bytes) -> None:
         self._buffered_bytes += len(part)
--- a/foldhoist/delivery/quarantined_calls.py
+++ b/foldhoist/delivery/quarantined_calls.py
@@ -41,8 +41,8 @@
         """
         found = [ticket for each in ticket_ids if (ticket := self._tickets.get(each)) is not None]
         changed = self._quarantine.crashed(now, {ticket.identity for ticket in found})
-        held = [row["call"] for row in changed if self._quarantine.held_s(now, row["call"])]
-        return [*self._reports.crashes(changed), *self._quarantine_calls(held)]
+        quarantined = [row["call"] for row in changed if self._quarantine.held_s(now, row["call"])]
+        return [*self._reports.crashes(changed), *self._quarantine_calls(quarantined)]
 
     def merge(self, now: float, suspects: list[Suspect]) -> list[Action]:
         """Merge what another daemon knows of calls that crash upstreams."""
