--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -16,7 +16,7 @@
 from foldhoist.admission.slots import Shape
 from foldhoist.config.fleet import evacuated, limits_of
 from foldhoist.config.reread import LIMITS, reread
-from foldhoist.configlog.versions import Readers
+from foldhoist.configlog.versions import ReaderElection
 from foldhoist.daemon.callers import CallerConnection, Shared
 from foldhoist.daemon.figures import traffic_counters, traffic_gauges
 from foldhoist.daemon.ingress_task import IngressTask
@@ -113,7 +113,7 @@
             self.quarantine,
             self.rng,
         )
-        self.readers = Readers(self.name, cfg["platform"]["wait_ms"] / 1000 + 1.5)
+        self.readers = ReaderElection(self.name, cfg["platform"]["wait_ms"] / 1000 + 1.5)
         self.versions = VersionsTask(
             self.adapter,
             self.store,
@@ -149,7 +149,7 @@
         limits, platform = found.cfg["limits"], found.cfg["platform"]
         self.adapter.reload(found.cfg)
         self.events.share = found.cfg["observe"]["log_share"]
-        self.ingress_task.ingress.door.most_calls = limits["calls"]
+        self.ingress_task.ingress.admission.max_calls = limits["calls"]
         self._bodies.most = limits["held_bytes"]
         self._slack.attempts = platform["retry_slack"]
         self._slack.window_s = platform["retry_window_s"]
@@ -333,22 +333,22 @@
         if self.versions.fleet is not None:
             self._bound_cold(self.versions.fleet)
         if replaced:
-            self.ingress_task.ingress.replaced(now, self.name)
+            self.ingress_task.ingress.upstream_replaced(now, self.name)
         self._track()
         self._tell_all()
 
     def _on_peers(self, changed: list[str]) -> None:
         now = asyncio.get_running_loop().time()
         for name in changed:
-            self.ingress_task.ingress.replaced(now, name)
+            self.ingress_task.ingress.upstream_replaced(now, name)
 
     def _on_seats(self, hosts: frozenset[str]) -> None:
         """Keep connections to the hosts that keep quotas."""
-        self.registry.keepers = hosts
+        self.registry.quota_servers = hosts
         self.peers.rewire_soon()
 
     def _on_rewired(self) -> None:
-        self.readers.place([self.name, *self.registry.neighbours.centre()])
+        self.readers.set_peers([self.name, *self.registry.neighbours.local_daemons()])
         self._track()
 
     def _track(self) -> None:
--- a/foldhoist/daemon/upstream_task.py
+++ b/foldhoist/daemon/upstream_task.py
@@ -10,9 +10,9 @@
 from loguru import logger
 
 from foldhoist.admission.bucket import TokenBucket
-from foldhoist.membership.lives import Life, life_of
-from foldhoist.membership.settling import Settling
-from foldhoist.membership.upstream import Heard, OwnUpstream
+from foldhoist.membership.incarnations import UpstreamIncarnation, incarnation_of
+from foldhoist.membership.startup_barrier import StartupBarrier
+from foldhoist.membership.upstream import AnnouncementResult, OwnUpstream
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -75,7 +75,7 @@
         self._owner_task = owner_task
         self._on_change = on_change
         self._service = service
-        self._settling = Settling(first=False)
+        self._barrier = StartupBarrier(first=False)
         self._settled = False
         self._began = 0.0
         self._noted: dict[str, _Binding] = {}
@@ -86,7 +86,7 @@
     def start(self, peers: PeersTask, first: bool) -> None:
         """Begin; the first life of a daemon has nothing to learn of earlier ones."""
         self._peers = peers
-        self._settling = Settling(first)
+        self._barrier = StartupBarrier(first)
         self._began = self._loop.time()
         self._loop.call_later(SETTLE_S, self._give_up)
         self._settle()
@@ -121,11 +121,11 @@
             return False
         self.count.heard += 1
         before = self.known.current
-        heard = self.known.heard(announced, self._loop.time())
-        if heard is not Heard.NOTHING:
+        heard = self.known.apply_announcement(announced, self._loop.time())
+        if heard is not AnnouncementResult.NOTHING:
             logger.info(
                 "upstream {} of {}: {}, sequence {}",
-                _told(life_of(announced)),
+                _told(incarnation_of(announced)),
                 announced["service"],
                 announced["state"],
                 announced["sequence"],
@@ -133,8 +133,8 @@
             self._changed(before)
         elif self.known.current is announced:
             self._owner_task.announced_again(announced["cold_ms"] / 1000)
-        if heard is Heard.LEAVING:
-            await self._bind(life_of(announced))
+        if heard is AnnouncementResult.LEAVING:
+            await self._bind(incarnation_of(announced))
         elif announced["state"] != "ready":
             await self._until_noted(announced["instance"])
         return True
@@ -152,57 +152,57 @@
         """
         before = self.known.current
         wall_ms = int(time.time() * 1000)
-        match self.known.left(instance, self._loop.time(), wall_ms, born_ms):
-            case Heard.UNSURE:
+        match self.known.apply_departure(instance, self._loop.time(), wall_ms, born_ms):
+            case AnnouncementResult.UNSURE:
                 logger.info("upstream {} is said to be gone, perhaps its life before", instance)
                 return False
-            case Heard.NOTHING:
+            case AnnouncementResult.NOTHING:
                 await self._until_noted(instance)
                 return True
         logger.info("upstream {} is gone, by its own word", instance)
         self._changed(before)
-        await self._bind(Life(instance, born_ms))
+        await self._bind(UpstreamIncarnation(instance, born_ms))
         return True
 
-    def peer_answered(self, name: str, noted: Iterable[Life]) -> None:
+    def peer_answered(self, name: str, noted: Iterable[UpstreamIncarnation]) -> None:
         """Take in that a peer has read what this daemon is; it has noted these lives as ended."""
         for life in noted:
             binding = self._noted.get(life.instance)
             if binding is not None and binding.born_ms <= life.born_ms:
                 binding.done.set()
-        self._settling.peer_answered(name)
+        self._barrier.peer_answered(name)
         self._settle()
 
-    def store_answered(self, ended: Iterable[Life], peers: AbstractSet[str]) -> None:
+    def store_answered(self, ended: Iterable[UpstreamIncarnation], peers: AbstractSet[str]) -> None:
         """Take in what the store knows of this daemon's earlier lives, and which peers it names."""
-        self._settling.store_answered(peers)
+        self._barrier.store_answered(peers)
         self._loop.call_later(PEERS_S, self._waited)
         self._take_ended(ended)
 
-    def remember(self, ended: Iterable[Life]) -> None:
+    def remember(self, ended: Iterable[UpstreamIncarnation]) -> None:
         """Take in what a peer knows of this daemon's earlier lives."""
-        self._settling.peer_remembered()
+        self._barrier.peer_remembered()
         self._take_ended(ended)
 
     # Steps
 
-    def _take_ended(self, ended: Iterable[Life]) -> None:
+    def _take_ended(self, ended: Iterable[UpstreamIncarnation]) -> None:
         before = self.known.current
-        if self.known.remember(ended):
+        if self.known.add_ended(ended):
             logger.info("upstream was leaving before this daemon started")
             self._changed(before)
         self._settle()
 
     def _waited(self) -> None:
-        self._settling.waited()
+        self._barrier.wait_elapsed()
         self._settle()
 
     def _give_up(self) -> None:
-        self._settling.give_up()
+        self._barrier.give_up()
         self._settle()
 
     def _settle(self) -> None:
-        if self._settled or not self._settling.done:
+        if self._settled or not self._barrier.done:
             return
         self._settled = True
         logger.info(
@@ -216,10 +216,10 @@
         if current is None or not self._settled:
             return
         self._owner_task.announce(current)
-        replaced = before is None or not life_of(before).is_same(life_of(current))
+        replaced = before is None or not incarnation_of(before).is_same(incarnation_of(current))
         self._on_change(replaced)
 
-    async def _bind(self, life: Life) -> None:
+    async def _bind(self, life: UpstreamIncarnation) -> None:
         """Wait until a peer or the store has noted the leaving, so that it outlasts this life."""
         binding = _Binding(life.born_ms, asyncio.Event())
         self._noted[life.instance] = binding
@@ -252,6 +252,6 @@
         event.set()
 
 
-def _told(life: Life) -> str:
+def _told(life: UpstreamIncarnation) -> str:
     """Return what the log calls a life."""
     return f"{life.instance} (started {life.born_ms})" if life.born_ms else life.instance
--- a/foldhoist/delivery/book.py
+++ b/foldhoist/delivery/call_table.py
@@ -8,10 +8,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from foldhoist.delivery.call import Call, Live, Timer
+    from foldhoist.delivery.call import Call, PendingAttempt, Timer
 
 
-class CallBook:
+class CallTable:
     """Calls without a final answer, by number, by attempt and by owner; times are seconds."""
 
     def __init__(self) -> None:
@@ -52,18 +52,18 @@
         """Return the oldest attempt without a result."""
         return next(iter(self.by_seq), otherwise)
 
-    def at(self, target: str) -> list[tuple[Call, Live]]:
+    def attempts_at(self, target: str) -> list[tuple[Call, PendingAttempt]]:
         """Return the attempts that are at this owner."""
-        found: list[tuple[Call, Live]] = []
+        found: list[tuple[Call, PendingAttempt]] = []
         for call in self._calls.values():
-            for live in call.live.values():
-                if live.target == target:
-                    found.append((call, live))
+            for attempt in call.pending.values():
+                if attempt.target == target:
+                    found.append((call, attempt))
         return found
 
-    def asking(self, target: str) -> list[tuple[Call, Live]]:
+    def awaiting_fate(self, target: str) -> list[tuple[Call, PendingAttempt]]:
         """Return the attempts whose fate this owner is to tell."""
-        return [(call, live) for call, live in self.at(target) if live.asking]
+        return [(call, attempt) for call, attempt in self.attempts_at(target) if attempt.fate_due]
 
     def park(self, call: Call) -> None:
         """Let a call wait for a first connection."""
@@ -79,7 +79,7 @@
         self._parked.clear()
         return parked
 
-    def remind(self, at: float, call: Call, kind: Timer) -> None:
+    def schedule(self, at: float, call: Call, kind: Timer) -> None:
         """Have something done with a call at a set time."""
         heappush(self._timers, (at, call.call_id, kind))
 
--- a/foldhoist/delivery/ingress.py
+++ b/foldhoist/delivery/ingress.py
@@ -9,24 +9,24 @@
 from typing import TYPE_CHECKING
 
 from foldhoist.delivery import rules
-from foldhoist.delivery.book import CallBook
+from foldhoist.delivery.admission_checks import AdmissionChecks
 from foldhoist.delivery.call import (
     Action,
     Call,
     CallerRequest,
     Connect,
     Counters,
-    Live,
-    Outgoing,
+    OwnerFrame,
+    PendingAttempt,
     Reply,
     SendTo,
     Timer,
-    record_of,
+    make_record,
 )
-from foldhoist.delivery.door import Door
-from foldhoist.delivery.entrance import UNAUTHORIZED, Entrance, TurnedAway
-from foldhoist.delivery.outgoing import dispatch_of
+from foldhoist.delivery.call_table import CallTable
+from foldhoist.delivery.dispatch_message import dispatch_message
 from foldhoist.delivery.quota_gate import Begin, QuotaGate, Refuse
+from foldhoist.delivery.request_intake import UNAUTHORIZED, RejectedRequest, RequestIntake
 from foldhoist.delivery.services import RetrySlack, Services
 from foldhoist.delivery.verdict import Answered, MayHaveRun, NotRun, Response, Verdict
 from foldhoist.quarantine.table import HELD
@@ -36,13 +36,13 @@
     from collections.abc import Mapping
     from random import Random
 
-    from foldhoist.delivery.quota_gate import Passed
+    from foldhoist.delivery.quota_gate import GateAction
     from foldhoist.quarantine.table import Quarantine
     from foldhoist.routing.picker import Member
     from foldhoist.schema.fleet import Fleet
     from foldhoist.schema.messages import Answer, Credit, Refusal, Report
 
-FATE_S = 1.0
+FATE_TIMEOUT_S = 1.0
 """Longest wait for an owner to say what became of a call, seconds."""
 
 
@@ -52,21 +52,21 @@
     def __init__(
         self,
         data_centre: str,
-        most_calls: int,
+        max_calls: int,
         rng: Random,
         slack: RetrySlack | None = None,
         quarantine: Quarantine | None = None,
     ) -> None:
-        self.door = Door(most_calls, quarantine)
+        self.admission = AdmissionChecks(max_calls, quarantine)
         self.generation = 0
         self.explain = True
         self.count = Counters()
         self._services = Services(data_centre, rng, slack)
-        self.entrance = Entrance(self.door, self._services)
-        self._book = CallBook()
-        self.gate = QuotaGate(self._book, self.count, rng)
-        self._linked: dict[str, str] = {}
-        self._up: set[str] = set()
+        self.intake = RequestIntake(self.admission, self._services)
+        self._calls = CallTable()
+        self.gate = QuotaGate(self._calls, self.count, rng)
+        self._incarnations: dict[str, str] = {}
+        self._connected: set[str] = set()
 
     # What the tasks tell it
 
@@ -81,51 +81,51 @@
     ) -> list[Action]:
         """Take over a configuration; what is known of upstreams that stay is kept."""
         self.generation = generation
-        self.entrance.adopt(fleet)
+        self.intake.adopt(fleet)
         self._services.adopt(fleet, homes)
-        passed = self.gate.adopt(now, self.entrance.customers)
-        return [*self.track(now, tracked, daemons), *self._pass(now, passed)]
+        decided = self.gate.adopt(now, self.intake.customers)
+        return [*self.track(now, tracked, daemons), *self._apply_gate(now, decided)]
 
     def track(
         self, now: float, tracked: Mapping[str, list[Member]], daemons: int = 1
     ) -> list[Action]:
         """Take over the upstreams to choose from; `daemons` share what may be retried."""
-        self._services.track(now, tracked, self._up, daemons)
+        self._services.track(now, tracked, self._connected, daemons)
         return self._unpark(now)
 
-    def replaced(self, now: float, target: str) -> None:
+    def upstream_replaced(self, now: float, target: str) -> None:
         """Take in that another upstream stands where this one stood."""
-        self._services.linked(now, target, target in self._up, fresh=True)
+        self._services.linked(now, target, target in self._connected, fresh=True)
 
     def arrive(self, now: float, call_id: int, req: CallerRequest) -> list[Action]:
         """Take in a request of a caller."""
         self.count.calls += 1
-        entry = self.entrance.enter(now, call_id, req, len(self._book))
-        if isinstance(entry, TurnedAway):
-            return [self._turn_away(now, entry)]
+        entry = self.intake.process(now, call_id, req, len(self._calls))
+        if isinstance(entry, RejectedRequest):
+            return [self._reject(now, entry)]
         call = entry.call
-        self._book.add(call)
-        self._book.remind(call.deadline, call, Timer.EXPIRE)
-        return self._pass(now, self.gate.enter(now, call))
+        self._calls.add(call)
+        self._calls.schedule(call.deadline, call, Timer.EXPIRE)
+        return self._apply_gate(now, self.gate.enter(now, call))
 
     def credited(self, now: float, message: Credit) -> list[Action]:
         """Take in what a keeper lends of a customer's quota."""
-        return self._pass(now, self.gate.credited(now, message))
+        return self._apply_gate(now, self.gate.credited(now, message))
 
     def answer(self, now: float, target: str, message: Answer) -> list[Action]:
         """Take in an owner's answer; a late one is counted and dropped."""
         ended = self._end_attempt(message["seq"])
         if ended is None:
             return []
-        call, live, picker = ended
+        call, attempt, picker = ended
         if picker is not None:
-            rules.tell_answer(now, picker, call, live, message)
-        call.note(now, live, "answered", message["waited_us"], message["served_us"])
+            rules.report_answer(now, picker, call, attempt, message)
+        call.note(now, attempt, "answered", message["waited_us"], message["served_us"])
         response = Response(message["status"], message["headers"], message["body"])
         failed = response.status >= rules.SERVER_ERROR
         if failed and call.repeatable and not call.req.key:
             call.failure = response
-            return self._go_on(now, call, "upstream-failed", 0.0)
+            return self._retry(now, call, "upstream-failed", 0.0)
         return self._finish(now, call, Answered(response))
 
     def refusal(self, now: float, target: str, message: Refusal) -> list[Action]:
@@ -133,17 +133,17 @@
         ended = self._end_attempt(message["seq"])
         if ended is None:
             return []
-        call, live, picker = ended
+        call, attempt, picker = ended
         if picker is not None:
-            rules.tell_refusal(now, picker, call, live, message)
-        call.note(now, live, f"{message['ran']}:{message['reason']}", 0, 0)
+            rules.report_refusal(now, picker, call, attempt, message)
+        call.note(now, attempt, f"{message['ran']}:{message['reason']}", 0, 0)
         if message["ran"] == "maybe":
-            call.maybe = message["reason"]
+            call.may_have_run_reason = message["reason"]
         elif message.get("reached", False):
             self.count.turned_away += 1
         else:
             call.arrivals -= 1
-        return self._go_on(now, call, message["reason"], message["retry_after_ms"] / 1000)
+        return self._retry(now, call, message["reason"], message["retry_after_ms"] / 1000)
 
     def report(self, now: float, target: str, message: Report) -> None:
         """Take in a report that an owner sent by itself."""
@@ -152,39 +152,39 @@
 
     def link_up(self, now: float, target: str, incarnation: str) -> list[Action]:
         """Take in a new connection to an owner; ask for the fate of calls of an older one."""
-        fresh = self._linked.get(target) != incarnation
-        self._linked[target] = incarnation
-        self._up.add(target)
+        fresh = self._incarnations.get(target) != incarnation
+        self._incarnations[target] = incarnation
+        self._connected.add(target)
         self.gate.linked(now, target, up=True)
         self._services.linked(now, target, True, fresh)
         return [*self._ask_fate(now, target, fresh), *self._unpark(now)]
 
     def link_closing(self, now: float, target: str) -> list[Action]:
         """Take in that an owner takes no more calls; it still answers those that it has."""
-        self._up.discard(target)
+        self._connected.discard(target)
         self._services.linked(now, target, False, fresh=False)
-        return self._pass(now, self.gate.linked(now, target, up=False))
+        return self._apply_gate(now, self.gate.linked(now, target, up=False))
 
     def link_lost(self, now: float, target: str) -> list[Action]:
         """Take in that a connection to an owner fell."""
         actions = self.link_closing(now, target)
-        for call, live in self._book.at(target):
-            if live.asking:
+        for call, attempt in self._calls.attempts_at(target):
+            if attempt.fate_due:
                 continue
             if call.repeatable and not call.req.key:
-                actions += self._lose(now, call, live, "owner-connection-lost")
+                actions += self._attempt_lost(now, call, attempt, "owner-connection-lost")
                 continue
-            live.asking = now + FATE_S
-            self._book.remind(min(live.asking, call.deadline), call, Timer.UNASKED)
+            attempt.fate_due = now + FATE_TIMEOUT_S
+            self._calls.schedule(min(attempt.fate_due, call.deadline), call, Timer.FATE_TIMEOUT)
         return actions
 
     def link_refused(self, now: float, target: str) -> list[Action]:
         """Take in that the owner's process is gone: nobody can say what became of its calls."""
-        return self._end_asking(now, target, "owner-gone")
+        return self._end_awaiting_fate(now, target, "owner-gone")
 
-    def caller_gone(self, now: float, call_id: int) -> list[Action]:
+    def caller_disconnected(self, now: float, call_id: int) -> list[Action]:
         """Take in that a caller has closed its connection: nobody waits for the call."""
-        call = self._book.remove(call_id)
+        call = self._calls.remove(call_id)
         if call is None:
             return []
         self.count.gone += 1
@@ -193,8 +193,8 @@
 
     def tick(self, now: float) -> list[Action]:
         """Give the final answer to calls whose time is up, and send hedges."""
-        actions = self._pass(now, self.gate.tick(now))
-        for call, kind in self._book.due(now):
+        actions = self._apply_gate(now, self.gate.tick(now))
+        for call, kind in self._calls.due(now):
             actions += self._on_timer(now, call, kind)
         return actions
 
@@ -202,17 +202,17 @@
 
     def next_at(self) -> float | None:
         """Return when `tick` has something to do, monotonic seconds."""
-        times = [at for at in (self._book.next_at(), self.gate.next_at()) if at is not None]
+        times = [at for at in (self._calls.next_at(), self.gate.next_at()) if at is not None]
         return min(times, default=None)
 
     @property
     def calls(self) -> int:
         """Return the calls without a final answer."""
-        return len(self._book)
+        return len(self._calls)
 
     def is_busy(self, target: str) -> bool:
         """Return whether a call is under way at an owner."""
-        return bool(self._book.at(target))
+        return bool(self._calls.attempts_at(target))
 
     def pickers(self) -> dict[str, Picker]:
         """Return the picker of each service."""
@@ -220,14 +220,14 @@
 
     # Steps
 
-    def _end_attempt(self, seq: int) -> tuple[Call, Live, Picker | None] | None:
+    def _end_attempt(self, seq: int) -> tuple[Call, PendingAttempt, Picker | None] | None:
         """Return the call and the attempt that a result is for, or None if it comes too late."""
-        call = self._book.by_seq.pop(seq, None)
+        call = self._calls.by_seq.pop(seq, None)
         if call is None:
             self.count.late += 1
             return None
         state = self._services.get(call.service)
-        return call, call.live.pop(seq), state.picker if state is not None else None
+        return call, call.pending.pop(seq), state.picker if state is not None else None
 
     def _on_timer(self, now: float, call: Call, kind: Timer) -> list[Action]:
         if now >= call.deadline:
@@ -235,9 +235,9 @@
         match kind:
             case Timer.HEDGE:
                 return self._hedge(now, call)
-            case Timer.UNASKED:
-                return self._end_unasked(now, call)
-            case Timer.UNPARK if self._book.unpark(call.call_id):
+            case Timer.FATE_TIMEOUT:
+                return self._end_fate_timeouts(now, call)
+            case Timer.PARK_TIMEOUT if self._calls.unpark(call.call_id):
                 return self._give_up(now, call, NO_CONNECTION, 1.0)
         return []
 
@@ -245,30 +245,30 @@
         state = self._services.get(call.service)
         if state is None:
             return self._give_up(now, call, "service-removed", 0.0)
-        wait_s = rules.park_s(now, call, state)
+        wait_s = rules.max_park_s(now, call, state)
         if not wait_s:
             return self._give_up(now, call, NO_CONNECTION, 1.0)
-        self._book.park(call)
-        self._book.remind(now + wait_s, call, Timer.UNPARK)
+        self._calls.park(call)
+        self._calls.schedule(now + wait_s, call, Timer.PARK_TIMEOUT)
         return [Connect(rules.owners_for(call, state))]
 
     def _unpark(self, now: float) -> list[Action]:
         actions: list[Action] = []
-        for call in self._book.unpark_all():
-            if call.call_id in self._book:
+        for call in self._calls.unpark_all():
+            if call.call_id in self._calls:
                 actions += self._attempt(now, call)
         return actions
 
-    def _turn_away(self, now: float, entry: TurnedAway) -> Reply:
+    def _reject(self, now: float, entry: RejectedRequest) -> Reply:
         call, verdict = entry
         self.count.not_run += 1
         self.count.unidentified += verdict.status == UNAUTHORIZED
-        return Reply(call.call_id, verdict, record_of(call, now, verdict, self.generation))
+        return Reply(call.call_id, verdict, make_record(call, now, verdict, self.generation))
 
-    def _pass(self, now: float, passed: list[Passed]) -> list[Action]:
+    def _apply_gate(self, now: float, decided: list[GateAction]) -> list[Action]:
         """Carry out what was decided on calls of customers with quotas."""
         actions: list[Action] = []
-        for each in passed:
+        for each in decided:
             match each:
                 case Begin(call):
                     actions += self._begin(now, call)
@@ -283,40 +283,40 @@
         state = self._services.get(call.service)
         if state is None:
             return self._give_up(now, call, "service-removed", 1.0)
-        call.begun = True
+        call.admitted = True
         state.budget.call(now, call.req.repeat)
         actions = self._attempt(now, call)
         if hedge_s := rules.hedge_after_s(call, state):
-            self._book.remind(now + hedge_s, call, Timer.HEDGE)
+            self._calls.schedule(now + hedge_s, call, Timer.HEDGE)
         return actions
 
     def _attempt(self, now: float, call: Call, first_reason: str = "") -> list[Action]:
         state = self._services.get(call.service)
-        pick = rules.pick(now, call, state, self._up, explain=self.explain)
+        pick = rules.pick(now, call, state, self._connected, explain=self.explain)
         if isinstance(pick, NoChoice):
-            if pick.reason == NO_CONNECTION and not call.tries:
+            if pick.reason == NO_CONNECTION and not call.dispatches:
                 return self._park(now, call)
             return self._give_up(now, call, first_reason or pick.reason, pick.retry_after_s)
-        if call.deadline - now < rules.LEAST_BUDGET_S:
+        if call.deadline - now < rules.MIN_BUDGET_S:
             return self._give_up(now, call, "deadline-passed", 0.0)
-        seq = self._book.next_seq()
-        call.tries += 1
+        seq = self._calls.next_seq()
+        call.dispatches += 1
         call.arrivals += 1
         call.excluded.add(pick.name)
-        call.live[seq] = Live(seq, pick.name, pick, now)
-        self._book.by_seq[seq] = call
+        call.pending[seq] = PendingAttempt(seq, pick.name, pick, now)
+        self._calls.by_seq[seq] = call
         if state is not None:
             state.picker.sent(pick.name, seq, now)
-        acked = self._book.oldest_seq(seq)
+        acked = self._calls.oldest_seq(seq)
         expected_s = state.picker.times.mean(call.route) if state is not None else 0.0
-        message = dispatch_of(now, call, seq, acked, self.generation, expected_s)
-        return [SendTo(pick.name, Outgoing("Dispatch", message))]
+        message = dispatch_message(now, call, seq, acked, self.generation, expected_s)
+        return [SendTo(pick.name, OwnerFrame("Dispatch", message))]
 
-    def _go_on(self, now: float, call: Call, reason: str, retry_after_s: float) -> list[Action]:
-        if call.live:
+    def _retry(self, now: float, call: Call, reason: str, retry_after_s: float) -> list[Action]:
+        if call.pending:
             return []
-        if held_s := self.door.held_s(now, call):
-            return self._give_up(now, call, HELD, held_s)
+        if quarantined_s := self.admission.quarantined_s(now, call):
+            return self._give_up(now, call, HELD, quarantined_s)
         if not rules.may_retry(now, call, self._services.get(call.service), self.count):
             return self._give_up(now, call, reason, retry_after_s)
         self.count.retried += 1
@@ -324,7 +324,7 @@
 
     def _hedge(self, now: float, call: Call) -> list[Action]:
         # Under a call that ends upstreams a hedge would end a second one at once.
-        if len(call.live) != 1 or self.door.is_suspect(call):
+        if len(call.pending) != 1 or self.admission.is_suspect(call):
             return []
         if not rules.may_retry(now, call, self._services.get(call.service), self.count):
             return []
@@ -332,66 +332,68 @@
         return self._attempt(now, call)
 
     def _give_up(self, now: float, call: Call, reason: str, retry_after_s: float) -> list[Action]:
-        if call.live:
+        if call.pending:
             return []
         return self._finish(now, call, rules.last_verdict(call, NotRun(reason, retry_after_s)))
 
     def _expire(self, now: float, call: Call) -> list[Action]:
-        if call.failure is None and (call.live or call.maybe):
+        if call.failure is None and (call.pending or call.may_have_run_reason):
             return self._finish(now, call, MayHaveRun("deadline-passed", status=504))
         not_run = NotRun("deadline-passed", 0.0, status=504)
         return self._finish(now, call, rules.last_verdict(call, not_run))
 
     def _finish(self, now: float, call: Call, verdict: Verdict) -> list[Action]:
-        if self._book.remove(call.call_id) is None:
+        if self._calls.remove(call.call_id) is None:
             return []
-        for live in call.live.values():
-            call.note(now, live, "withdrawn", 0, 0)
+        for attempt in call.pending.values():
+            call.note(now, attempt, "withdrawn", 0, 0)
         self.count.ended(verdict)
         self.gate.ended(now, call, ran=not isinstance(verdict, NotRun))
-        reply = Reply(call.call_id, verdict, record_of(call, now, verdict, self.generation))
+        reply = Reply(call.call_id, verdict, make_record(call, now, verdict, self.generation))
         return [reply, *self._withdraw_all(now, call)]
 
     def _withdraw_all(self, now: float, call: Call) -> list[Action]:
         actions: list[Action] = []
         state = self._services.get(call.service)
-        for seq, live in call.live.items():
-            self._book.by_seq.pop(seq, None)
+        for seq, attempt in call.pending.items():
+            self._calls.by_seq.pop(seq, None)
             if state is not None:
-                state.picker.abandoned(live.target, seq, now)
-            actions.append(SendTo(live.target, Outgoing("Withdraw", {"seq": seq})))
-        call.live = {}
+                state.picker.abandoned(attempt.target, seq, now)
+            actions.append(SendTo(attempt.target, OwnerFrame("Withdraw", {"seq": seq})))
+        call.pending = {}
         return actions
 
     def _ask_fate(self, now: float, target: str, fresh: bool) -> list[Action]:
-        asked = self._book.asking(target)
+        asked = self._calls.awaiting_fate(target)
         if not asked:
             return []
         if fresh:
-            return self._end_asking(now, target, "owner-restarted")
+            return self._end_awaiting_fate(now, target, "owner-restarted")
         self.count.fate_asked += len(asked)
-        seqs = [live.seq for _, live in asked]
-        return [SendTo(target, Outgoing("FateAsk", {"seqs": seqs}))]
+        seqs = [attempt.seq for _, attempt in asked]
+        return [SendTo(target, OwnerFrame("FateAsk", {"seqs": seqs}))]
 
-    def _end_asking(self, now: float, target: str, reason: str) -> list[Action]:
+    def _end_awaiting_fate(self, now: float, target: str, reason: str) -> list[Action]:
         actions: list[Action] = []
-        for call, live in self._book.asking(target):
-            actions += self._lose(now, call, live, reason)
+        for call, attempt in self._calls.awaiting_fate(target):
+            actions += self._attempt_lost(now, call, attempt, reason)
         return actions
 
-    def _end_unasked(self, now: float, call: Call) -> list[Action]:
+    def _end_fate_timeouts(self, now: float, call: Call) -> list[Action]:
         actions: list[Action] = []
-        for live in list(call.live.values()):
-            if live.asking and now >= live.asking:
-                actions += self._lose(now, call, live, "owner-unreachable")
+        for attempt in list(call.pending.values()):
+            if attempt.fate_due and now >= attempt.fate_due:
+                actions += self._attempt_lost(now, call, attempt, "owner-unreachable")
         return actions
 
-    def _lose(self, now: float, call: Call, live: Live, reason: str) -> list[Action]:
-        call.live.pop(live.seq, None)
-        self._book.by_seq.pop(live.seq, None)
+    def _attempt_lost(
+        self, now: float, call: Call, attempt: PendingAttempt, reason: str
+    ) -> list[Action]:
+        call.pending.pop(attempt.seq, None)
+        self._calls.by_seq.pop(attempt.seq, None)
         state = self._services.get(call.service)
         if state is not None:
-            state.picker.lost(live.target, live.seq, now)
-        call.maybe = reason
-        call.note(now, live, f"maybe:{reason}", 0, 0)
-        return self._go_on(now, call, reason, 0.5)
+            state.picker.lost(attempt.target, attempt.seq, now)
+        call.may_have_run_reason = reason
+        call.note(now, attempt, f"maybe:{reason}", 0, 0)
+        return self._retry(now, call, reason, 0.5)
--- a/foldhoist/delivery/load_reports.py
+++ b/foldhoist/delivery/load_reports.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from foldhoist.delivery.dispatch import Frame, SendTo, Spread
+from foldhoist.delivery.dispatch import Frame, SendTo, ShareSuspects
 from foldhoist.delivery.upstream_status import PACE_KEPT_MS
 
 if TYPE_CHECKING:
@@ -65,7 +65,7 @@
         if not suspects:
             return []
         frame = crashes_frame(suspects)
-        return [*(SendTo(link, frame) for link in self._peers.links()), Spread(suspects)]
+        return [*(SendTo(link, frame) for link in self._peers.links()), ShareSuspects(suspects)]
 
     def _send_to(self, links: list[int]) -> list[Action]:
         report = Frame("Report", {"load": self.load()})
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -13,15 +13,17 @@
 from foldhoist.admission.due import DueQueue
 from foldhoist.admission.slots import Refuse, Shape, SlotQueue, Start
 from foldhoist.delivery import replies
+from foldhoist.delivery.call_finisher import CallFinisher
 from foldhoist.delivery.claims import Claims
 from foldhoist.delivery.dispatch import (
     Action,
-    Broken,
     CancelCall,
     CloseLink,
+    Complete,
     Counters,
     Ended,
     Frame,
+    Incomplete,
     Peer,
     Replaced,
     Result,
@@ -29,9 +31,7 @@
     Shed,
     StartCall,
     Ticket,
-    Whole,
 )
-from foldhoist.delivery.endings import Endings
 from foldhoist.delivery.keys import KeyTable
 from foldhoist.delivery.load_reports import LoadReports, crashes_frame
 from foldhoist.delivery.owner_admission import OwnerAdmission
@@ -40,7 +40,7 @@
 from foldhoist.delivery.shed_guard import ShedGuard
 from foldhoist.delivery.tickets import Tickets
 from foldhoist.delivery.upstream_status import EVACUATED, REPLACED, UpstreamStatus
-from foldhoist.delivery.waiting import Waiting
+from foldhoist.delivery.waiting_calls import WaitingCalls
 from foldhoist.quarantine.table import Quarantine
 
 if TYPE_CHECKING:
@@ -88,11 +88,13 @@
         self._peers = Peers()
         self._reports = LoadReports(self.status, self.queue, self._peers)
         self.tickets = Tickets(bodies)
-        self._endings = Endings(self.tickets, self.keys, self._peers, self._reports, self.count)
-        self.refusals = self._endings.refusals
-        self._claims = Claims(self.keys, self._endings, self.count)
+        self._finisher = CallFinisher(
+            self.tickets, self.keys, self._peers, self._reports, self.count
+        )
+        self.refusals = self._finisher.refusals
+        self._claims = Claims(self.keys, self._finisher, self.count)
         self._crowding = Crowding()
-        self._waiting = Waiting(self.queue, self.tickets, self._endings)
+        self._waiting = WaitingCalls(self.queue, self.tickets, self._finisher)
         self._shed_guard = ShedGuard(self.status, self._reports, self._waiting, self.tickets)
         self._quarantined = QuarantinedCalls(
             self.quarantine, self.tickets, self._reports, self._waiting, self.count
@@ -128,7 +130,7 @@
         drop_acked(peer, req["acked"])
         rejection = self._admission.rejection(now, req, self.service)
         if rejection is not None:
-            return [self._endings.refused_at_door(peer, req, *rejection)]
+            return [self._finisher.refused_on_arrival(peer, req, *rejection)]
         if req["key"]:
             reply = self._claims.claim(now, wall_ms, peer, req, self.load())
             if reply is not None:
@@ -149,7 +151,7 @@
         if not ticket.running:
             self.queue.withdraw(ticket_id)
             self.count.withdrawn += 1
-            return self._endings.refused(ticket_id, "no", "withdrawn", 0.0)
+            return self._finisher.refused(ticket_id, "no", "withdrawn", 0.0)
         self.count.cancelled += 1
         return [CancelCall(ticket_id)]
 
@@ -158,7 +160,7 @@
         peer = self._peers.at(link)
         if peer is None:
             return []
-        return [SendTo(link, frame) for frame in self._endings.fates(peer, message["seqs"])]
+        return [SendTo(link, frame) for frame in self._finisher.fates(peer, message["seqs"])]
 
     def finished(self, now: float, ticket_id: int, result: Result) -> list[Action]:
         """Handle the result of a call that was started at the upstream."""
@@ -167,7 +169,7 @@
             return []
         served_s = now - ticket.started
         match result:
-            case Whole():
+            case Complete():
                 self.status.answered(result.status)
                 reports = self._update_pace(now, result.pace)
                 if result.status < SERVER_ERROR:
@@ -178,7 +180,7 @@
                 started = self._apply(now, self.queue.release(now, served_s))
                 started += self._update_slots(now)
                 return [
-                    *self._endings.answered(now, ticket_id, result, served_s),
+                    *self._finisher.answered(now, ticket_id, result, served_s),
                     *started,
                     *reports,
                 ]
@@ -191,12 +193,12 @@
                 reports = self.set_leaving(REPLACED)
                 waiting = self._waiting.refuse(self.tickets.ids(), REPLACED)
                 return [*reports, *waiting, *self._end_shed(now, ticket_id, REPLACED, 0.0)]
-            case Broken():
+            case Incomplete():
                 self.count.lost += 1
                 self.status.failed()
                 started = self._apply(now, self.queue.release(now, None))
                 ran = "maybe" if result.sent else "no"
-                return [*self._endings.refused(ticket_id, ran, result.reason, 0.5), *started]
+                return [*self._finisher.refused(ticket_id, ran, result.reason, 0.5), *started]
 
     def upstream_crashed(self, now: float, tickets: list[int]) -> list[Action]:
         """Handle a crash of the upstream while these calls were running.
@@ -336,7 +338,7 @@
     def _record_concurrency(self, now: float, ticket: Ticket, served_s: float) -> None:
         if self.status.upstream is not None:
             route = ticket.request.get("route", "")
-            self._crowding.answered(now, route, ticket.beside, served_s)
+            self._crowding.answered(now, route, ticket.running_at_start, served_s)
 
     def _update_slots(self, now: float) -> list[Action]:
         """Apply the concurrency limit to an upstream that has announced itself."""
@@ -367,16 +369,16 @@
             match decision:
                 case Start(ticket_id) if now > self.status.last_start_at:
                     actions += self._apply(now, self.queue.release(now, None))
-                    actions += self._endings.refused(ticket_id, "no", "upstream-leaving", 0.0)
+                    actions += self._finisher.refused(ticket_id, "no", "upstream-leaving", 0.0)
                 case Start(ticket_id):
                     actions.append(self._start(now, ticket_id))
                 case Refuse(ticket_id, reason, retry_after_s):
-                    actions += self._endings.refused(ticket_id, "no", reason, retry_after_s)
+                    actions += self._finisher.refused(ticket_id, "no", reason, retry_after_s)
         return actions
 
     def _start(self, now: float, ticket_id: int) -> Action:
         ticket = self.tickets.start(ticket_id, now)
-        ticket.beside = self.queue.busy
+        ticket.running_at_start = self.queue.busy
         self.count.dispatched += 1
         self.count.repeats += ticket.request["retried"]
         instance = self.status.instance
@@ -388,6 +390,6 @@
         self.count.turned_away += 1
         started = self._apply(now, self.queue.release(now, None))
         return [
-            *self._endings.refused(ticket_id, "no", reason, retry_after_s, reached=True),
+            *self._finisher.refused(ticket_id, "no", reason, retry_after_s, reached=True),
             *started,
         ]
--- a/foldhoist/delivery/quarantined_calls.py
+++ b/foldhoist/delivery/quarantined_calls.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from foldhoist.delivery.dispatch import CancelCall, Hold, dispatch_identity
+from foldhoist.delivery.dispatch import CancelCall, QuarantineCalls, dispatch_identity
 from foldhoist.quarantine.table import HELD
 
 if TYPE_CHECKING:
     from foldhoist.delivery.dispatch import Action, Counters
     from foldhoist.delivery.load_reports import LoadReports
     from foldhoist.delivery.tickets import Tickets
-    from foldhoist.delivery.waiting import Waiting
+    from foldhoist.delivery.waiting_calls import WaitingCalls
     from foldhoist.quarantine.table import Quarantine
     from foldhoist.schema.messages import Dispatch, Suspect
 
@@ -24,7 +24,7 @@
         quarantine: Quarantine,
         tickets: Tickets,
         reports: LoadReports,
-        waiting: Waiting,
+        waiting: WaitingCalls,
         count: Counters,
     ) -> None:
         self._quarantine = quarantine
@@ -62,7 +62,7 @@
         if not calls:
             return []
         self._count.held += len(calls)
-        actions: list[Action] = [Hold(calls)]
+        actions: list[Action] = [QuarantineCalls(calls)]
         found = [each for each in self._tickets.ids() if self._tickets[each].identity in calls]
         for ticket_id in found:
             ticket = self._tickets[ticket_id]
--- a/foldhoist/delivery/shed_guard.py
+++ b/foldhoist/delivery/shed_guard.py
@@ -9,7 +9,7 @@
     from foldhoist.delivery.load_reports import LoadReports
     from foldhoist.delivery.tickets import Tickets
     from foldhoist.delivery.upstream_status import UpstreamStatus
-    from foldhoist.delivery.waiting import Waiting
+    from foldhoist.delivery.waiting_calls import WaitingCalls
 
 SHEDS_ALL = "upstream-sheds-all"
 """Reason of refusals by an owner whose upstream sheds every call."""
@@ -23,7 +23,7 @@
     """
 
     def __init__(
-        self, status: UpstreamStatus, reports: LoadReports, waiting: Waiting, tickets: Tickets
+        self, status: UpstreamStatus, reports: LoadReports, waiting: WaitingCalls, tickets: Tickets
     ) -> None:
         self._status = status
         self._reports = reports
--- a/foldhoist/routing/policies.py
+++ b/foldhoist/routing/policies.py
@@ -1,62 +1,63 @@
-"""Ways to choose among upstreams; each is a data class, selected in the configuration."""
+"""Load balancing policies; each is a data class, selected in the configuration."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, NamedTuple, TypeAlias
 
-from foldhoist.routing.times import Paces
-from foldhoist.routing.track import STALE_S, UNKNOWN_SERVICE_S
+from foldhoist.routing.times import PaceEstimates
 from foldhoist.routing.trust import Trust
+from foldhoist.routing.upstream_stats import STALE_S, UNKNOWN_SERVICE_S
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
     from random import Random
 
-    from foldhoist.routing.track import Track
+    from foldhoist.routing.upstream_stats import UpstreamStats
 
 REMOTE_COST_S = 0.001
-"""What a call to another data centre costs beside its service time, seconds."""
-MINOR_ERRORS = 0.05
-"""A share of errors up to this costs an upstream nothing."""
+"""Default cost added for an upstream in another data centre, seconds."""
+TOLERATED_ERRORS = 0.05
+"""Error shares up to this do not raise the cost of an upstream."""
 ERROR_COST = 10.0
-"""What a share of errors costs, in service times."""
-MOST_SHOWN = 4
-"""Candidates that a decision record keeps."""
-ALIKE = 2.0
-"""Service times within this factor of the fastest count as alike; docs/design/choosing.md."""
-TIE = 0.05
-"""Scores closer than this share of the best one count as equal and are drawn by lot."""
+"""Added cost at an error share of 1, as a multiple of the expected time."""
+MAX_RECORDED = 4
+"""Maximum number of candidates in a decision record."""
+SIMILAR_FACTOR = 2.0
+"""Service times within this factor of the fastest count as equal; docs/design/choosing.md."""
+TIE_TOLERANCE = 0.05
+"""Scores within this share of the best count as equal; one of them is drawn at random."""
 
 
 @dataclass(frozen=True)
 class RandomChoice:
-    """Any upstream, with equal chance."""
+    """Picks uniformly at random."""
 
 
 @dataclass
 class RoundRobin:
-    """One after the other."""
+    """Picks the upstreams in turn."""
 
     turn: int = 0
 
 
 @dataclass(frozen=True)
 class LeastInFlight:
-    """The one with the fewest calls of this daemon's own in flight."""
+    """Picks the upstream with the fewest calls in flight from this daemon."""
 
 
 @dataclass(frozen=True)
 class TwoChoices:
-    """The less occupied of two drawn by lot."""
+    """Picks the less occupied of two random upstreams."""
 
 
 @dataclass(frozen=True)
 class HotCold:
-    """Prequal's rule: of the less occupied ones the fastest, else the least occupied.
+    """Picks the fastest of the cold upstreams, as Prequal does.
 
-    Requests in flight above the `quantile` of all make an upstream hot (Wydrowski and others,
-    "Load is not what you should balance: introducing Prequal", NSDI 2024).
+    An upstream is hot if its occupancy is above the `quantile` of all. If none is hot but some may
+    be full, the least occupied is picked (Wydrowski and others, "Load is not what you should
+    balance: introducing Prequal", NSDI 2024).
     """
 
     quantile: float = 0.7
@@ -64,18 +65,18 @@
 
 @dataclass(frozen=True)
 class Mixed:
-    """The least expected time, from own calls in flight, aged reports and distance."""
+    """Picks the least expected time, from calls in flight, load reports, errors and distance."""
 
     data_centre: str = ""
     trust: Trust = field(default_factory=Trust)
-    paces: Paces = field(default_factory=Paces)
+    paces: PaceEstimates = field(default_factory=PaceEstimates)
 
 
 Policy: TypeAlias = RandomChoice | RoundRobin | LeastInFlight | TwoChoices | HotCold | Mixed
 
 
 class Scored(NamedTuple):
-    """A candidate with the inputs that its choice rested on; ages and times in seconds."""
+    """A candidate of a choice with its score and inputs; ages and times in seconds."""
 
     name: str
     score: float
@@ -87,7 +88,7 @@
 
 
 def make_policy(name: str, data_centre: str) -> Policy:
-    """Return the policy of this name from the configuration."""
+    """Return the policy of this name; an unknown name gives `Mixed`."""
     match name:
         case "random":
             return RandomChoice()
@@ -104,130 +105,140 @@
 
 def choose(
     policy: Policy,
-    among: Sequence[Track],
+    candidates: Sequence[UpstreamStats],
     now: float,
     rng: Random,
     remote_s: float = REMOTE_COST_S,
     cold_s: float = 0.0,
-) -> tuple[Track, list[float] | None]:
-    """Return the upstream that the policy picks, and expected times if it needed those.
+) -> tuple[UpstreamStats, list[float] | None]:
+    """Return the upstream that the policy picks, and the expected times if it computed them.
 
-    `among` is not empty.
+    `candidates` must not be empty.
     """
     if isinstance(policy, Mixed):
         scores = expected_s(
-            among, policy.data_centre, now, policy.trust.weight, policy.paces, remote_s, cold_s
+            candidates, policy.data_centre, now, policy.trust.weight, policy.paces, remote_s, cold_s
         )
-        return _least(among, scores, rng), scores
-    return _choose_plainly(policy, among, now, rng), None
+        return _lowest(candidates, scores, rng), scores
+    return _choose_by_simple_policy(policy, candidates, now, rng), None
 
 
-def _choose_plainly(policy: Policy, among: Sequence[Track], now: float, rng: Random) -> Track:
+def _choose_by_simple_policy(
+    policy: Policy, candidates: Sequence[UpstreamStats], now: float, rng: Random
+) -> UpstreamStats:
     match policy:
         case RoundRobin():
             policy.turn += 1
-            return among[policy.turn % len(among)]
+            return candidates[policy.turn % len(candidates)]
         case LeastInFlight():
-            return _least(among, [float(track.in_flight) for track in among], rng)
+            return _lowest(candidates, [float(stats.in_flight) for stats in candidates], rng)
         case TwoChoices():
-            return _less_occupied_of_two(among, now, rng)
+            return _less_occupied_of_two(candidates, now, rng)
         case HotCold():
-            return _hot_cold(policy, among, now, rng)
-    return among[int(rng.random() * len(among))]
+            return _hot_cold(policy, candidates, now, rng)
+    return candidates[int(rng.random() * len(candidates))]
 
 
 def expected_s(
-    among: Sequence[Track],
+    candidates: Sequence[UpstreamStats],
     data_centre: str,
     now: float,
     trust: float = 1.0,
-    paces: Paces | None = None,
+    paces: PaceEstimates | None = None,
     remote_s: float = REMOTE_COST_S,
     cold_s: float = 0.0,
 ) -> list[float]:
-    """Return the expected time of one more call at each, seconds, errors and distance included.
+    """Return the expected time of one more call at each candidate, with penalties, seconds.
 
-    `remote_s` is what another data centre costs beside the time of the call, `cold_s` the time
-    between two calls that a cold upstream bears.
+    `trust` weights the calls of other daemons, `remote_s` is added for another data centre, and
+    `cold_s` is added for a cold upstream.
 
-    Upstreams whose answers take about as long as those of the fastest are taken for equally fast:
-    what is left of the difference is chance, and calls would flock to the luckiest.
+    Service times close to the fastest count as equal to it, so that noise does not concentrate
+    calls on one upstream.
     """
     times: list[float] = []
-    for track in among:
-        if track.in_flight or now - track.last_at > STALE_S:
-            times.append(track.service_s(now))
+    for stats in candidates:
+        if stats.in_flight or now - stats.last_result_at > STALE_S:
+            times.append(stats.service_s(now))
         else:
-            times.append(track.latency_s if track.results else UNKNOWN_SERVICE_S)
-    usual = min(times)
+            times.append(stats.latency_s if stats.results else UNKNOWN_SERVICE_S)
+    fastest = min(times)
     costs: list[float] = []
-    for track, service in zip(among, times, strict=True):
-        cost = usual if service <= usual * ALIKE else service
-        if track.in_flight or track.others:
-            cost *= _crowding(track, now, trust)
-        if track.errors > MINOR_ERRORS:
-            cost *= 1.0 + ERROR_COST * track.errors_now(now)
-        if paces is not None and track.pace:
-            cost *= paces.factor(track.pace, now - track.load_at - track.pace_kept_s)
-        if track.data_centre != data_centre:
+    for stats, service in zip(candidates, times, strict=True):
+        cost = fastest if service <= fastest * SIMILAR_FACTOR else service
+        if stats.in_flight or stats.other_calls:
+            cost *= _occupancy_factor(stats, now, trust)
+        if stats.errors > TOLERATED_ERRORS:
+            cost *= 1.0 + ERROR_COST * stats.decayed_errors(now)
+        if paces is not None and stats.pace:
+            cost *= paces.factor(stats.pace, now - stats.load_at - stats.pace_kept_s)
+        if stats.data_centre != data_centre:
             cost += remote_s
-        if track.load is not None and track.load["state"] == "cold":
+        if stats.load is not None and stats.load["state"] == "cold":
             cost += cold_s
         costs.append(cost)
     return costs
 
 
-def _crowding(track: Track, now: float, trust: float) -> float:
-    occupancy = track.occupancy(now, trust)
-    slots = track.slots
+def _occupancy_factor(stats: UpstreamStats, now: float, trust: float) -> float:
+    occupancy = stats.occupancy(now, trust)
+    slots = stats.slots
     factor = 1.0 + occupancy / slots
     if occupancy >= slots:
         factor += (occupancy + 1.0 - slots) / slots
     return factor
 
 
-def shown(
-    among: Sequence[Track], chosen: Track, scores: Sequence[float], now: float
+def recorded_candidates(
+    candidates: Sequence[UpstreamStats], chosen: UpstreamStats, scores: Sequence[float], now: float
 ) -> tuple[Scored, ...]:
-    """Return the inputs of the choice for its record: the chosen one and the next best."""
-    best = sorted(range(len(among)), key=scores.__getitem__)[:MOST_SHOWN]
-    at = among.index(chosen)
+    """Return the best candidates for the decision record, always with the chosen one."""
+    best = sorted(range(len(candidates)), key=scores.__getitem__)[:MAX_RECORDED]
+    at = candidates.index(chosen)
     if at not in best:
         best[-1] = at
-    return tuple(_scored(among[each], scores[each], now) for each in best)
+    return tuple(_scored(candidates[each], scores[each], now) for each in best)
 
 
-def _scored(track: Track, score: float, now: float) -> Scored:
-    load = track.load
+def _scored(stats: UpstreamStats, score: float, now: float) -> Scored:
+    load = stats.load
     return Scored(
-        track.name,
+        stats.name,
         score,
-        track.in_flight,
-        track.occupancy(now),
-        track.latency_s,
-        now - track.load_at if load is not None else -1.0,
+        stats.in_flight,
+        stats.occupancy(now),
+        stats.latency_s,
+        now - stats.load_at if load is not None else -1.0,
         load["state"] if load is not None else "unknown",
     )
 
 
-def _least(among: Sequence[Track], scores: list[float], rng: Random) -> Track:
-    limit = min(scores) * (1.0 + TIE)
-    best = [track for track, score in zip(among, scores, strict=True) if score <= limit]
+def _lowest(candidates: Sequence[UpstreamStats], scores: list[float], rng: Random) -> UpstreamStats:
+    limit = min(scores) * (1.0 + TIE_TOLERANCE)
+    best = [stats for stats, score in zip(candidates, scores, strict=True) if score <= limit]
     if len(best) == 1:
         return best[0]
     return best[int(rng.random() * len(best))]
 
 
-def _less_occupied_of_two(among: Sequence[Track], now: float, rng: Random) -> Track:
-    first = among[int(rng.random() * len(among))]
-    second = among[int(rng.random() * len(among))]
+def _less_occupied_of_two(
+    candidates: Sequence[UpstreamStats], now: float, rng: Random
+) -> UpstreamStats:
+    first = candidates[int(rng.random() * len(candidates))]
+    second = candidates[int(rng.random() * len(candidates))]
     return second if second.occupancy(now) < first.occupancy(now) else first
 
 
-def _hot_cold(policy: HotCold, among: Sequence[Track], now: float, rng: Random) -> Track:
-    levels = [track.occupancy(now) for track in among]
-    limit = sorted(levels)[int(policy.quantile * (len(levels) - 1))]
-    cold = [track for track, level in zip(among, levels, strict=True) if level <= limit]
-    if len(cold) == len(among) and limit >= min(track.slots for track in among):
-        return _least(among, levels, rng)
-    return _least(cold, [track.service_s(now) for track in cold], rng)
+def _hot_cold(
+    policy: HotCold, candidates: Sequence[UpstreamStats], now: float, rng: Random
+) -> UpstreamStats:
+    occupancies = [stats.occupancy(now) for stats in candidates]
+    limit = sorted(occupancies)[int(policy.quantile * (len(occupancies) - 1))]
+    cold = [
+        stats
+        for stats, occupancy in zip(candidates, occupancies, strict=True)
+        if occupancy <= limit
+    ]
+    if len(cold) == len(candidates) and limit >= min(stats.slots for stats in candidates):
+        return _lowest(candidates, occupancies, rng)
+    return _lowest(cold, [stats.service_s(now) for stats in cold], rng)
--- a/foldhoist/routing/routes.py
+++ b/foldhoist/routing/routes.py
@@ -1,4 +1,4 @@
-"""Which service a call belongs to, and what its route says: kind, rank, attempts, times."""
+"""Route lookup: maps a call's host, path and method to a service and call options."""
 
 from __future__ import annotations
 
@@ -8,29 +8,30 @@
     from foldhoist.schema.fleet import Fleet, Route
 
 NO_RANK = -1
-"""Rank of a call whose route gives none: `urgent` alone tells it from others."""
+"""Rank of a call whose route sets none; its priority then depends on `urgent` alone."""
 ANY_HOST = ""
-"""Host of a route that takes the calls of every host."""
+"""Host of a route that matches every host."""
 
 
-class Part(NamedTuple):
-    """A service that takes a share of a route's calls."""
+class WeightedService(NamedTuple):
+    """A service of a split route with its weight."""
 
     service: str
     weight: float
 
 
-class Routed(NamedTuple):
-    """A call's service and the kind of call it is; times are seconds, 0 where none is given.
+class RouteMatch(NamedTuple):
+    """The service and options of a call; times are seconds, 0 where the route sets none.
 
-    `open` says that it needs no API key, `bulk` that its answers are large.
+    `open` routes need no API key, and `bulk` routes have large answers. `parts` is empty unless
+    the route is split.
     """
 
     service: str
     repeatable: bool
     urgent: bool
     route: str = ""
-    parts: tuple[Part, ...] = ()
+    parts: tuple[WeightedService, ...] = ()
     timeout_s: float = 0.0
     attempts: int = 0
     rank: int = NO_RANK
@@ -42,11 +43,11 @@
 class _Rule(NamedTuple):
     prefix: str
     methods: frozenset[str]
-    routed: Routed
+    match: RouteMatch
 
 
 class RouteTable:
-    """The routes of one configuration by host, longest prefix first."""
+    """The routes of one configuration by host, longest prefix first, and service prefixes."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._by_host = _rules(fleet)
@@ -60,28 +61,31 @@
             reverse=True,
         )
 
-    def find(self, method: str, path: str, host: str = ANY_HOST) -> Routed | None:
-        """Return the service and kind of a call, or None if no prefix matches."""
+    def find(self, method: str, path: str, host: str = ANY_HOST) -> RouteMatch | None:
+        """Return the service and options of a call, or None if no prefix matches.
+
+        Routes of the host come before those of every host, and service prefixes come last.
+        """
         for name in (host, ANY_HOST) if host else (ANY_HOST,):
             for rule in self._by_host.get(name, ()):
                 if path.startswith(rule.prefix) and (not rule.methods or method in rule.methods):
-                    return rule.routed
+                    return rule.match
         for prefix, service in self._services:
             if path.startswith(prefix):
-                return Routed(service, repeatable=False, urgent=False)
+                return RouteMatch(service, repeatable=False, urgent=False)
         return None
 
 
-def parse_split(text: str) -> tuple[Part, ...]:
-    """Return the parts of a `split` option; raises ValueError if it is none."""
-    parts: list[Part] = []
+def parse_split(text: str) -> tuple[WeightedService, ...]:
+    """Return the weighted services of a `split` option; raises ValueError if it is malformed."""
+    parts: list[WeightedService] = []
     for entry in text.split(","):
         if not entry.strip():
             continue
         service, _, weight = entry.partition(":")
         if not service.strip() or not _is_weight(weight):
             raise ValueError(f"{entry.strip()} is no service with a weight")
-        parts.append(Part(service.strip(), float(weight)))
+        parts.append(WeightedService(service.strip(), float(weight)))
     return tuple(parts)
 
 
@@ -98,16 +102,16 @@
         methods = frozenset(
             part.strip().upper() for part in route["methods"].split(",") if part.strip()
         )
-        rule = _Rule(route["prefix"], methods, _routed(name, route))
+        rule = _Rule(route["prefix"], methods, _route_match(name, route))
         by_host.setdefault(route["host"].lower(), []).append(rule)
     for rules in by_host.values():
         rules.sort(key=lambda rule: len(rule.prefix), reverse=True)
     return by_host
 
 
-def _routed(name: str, route: Route) -> Routed:
+def _route_match(name: str, route: Route) -> RouteMatch:
     parts = parse_split(route["split"])
-    return Routed(
+    return RouteMatch(
         route["service"],
         route["repeatable"],
         route["urgent"],
--- a/tests/unit/routing/test_sampling.py
+++ b/tests/unit/routing/test_sampling.py
@@ -1,14 +1,14 @@
-"""When an owner samples the pace of its upstream."""
+"""Scheduling of samples of an upstream's pace."""
 
 from __future__ import annotations
 
 import pytest
 
 from foldhoist.routing.sampling import (
-    BACKOFF_LONGEST_S,
-    BACKOFF_S,
-    LEAST_S,
-    LONGEST_S,
+    FIRST_BACKOFF_S,
+    MAX_BACKOFF_S,
+    MAX_INTERVAL_S,
+    MIN_INTERVAL_S,
     SamplePlan,
     is_change,
 )
@@ -21,9 +21,9 @@
     made = SamplePlan(cost)
     step = 1.0 / calls_per_s
     for number in range(int(until * calls_per_s)):
-        made.called(number * step)
-        made.heard(number * step, 500 if flips and number % 3 == 0 else 100)
-    made.heard(until, 100)
+        made.record_call(number * step)
+        made.record_pace(number * step, 500 if flips and number % 3 == 0 else 100)
+    made.record_pace(until, 100)
     return made
 
 
@@ -32,15 +32,15 @@
     return None if at is None else at - now
 
 
-def test_an_upstream_that_tells_no_pace_is_not_asked() -> None:
+def test_an_upstream_that_reports_no_pace_is_not_sampled() -> None:
     made = SamplePlan(0.02)
     for number in range(100):
-        made.called(number / 50)
-        made.heard(number / 50, 0)
+        made.record_call(number / 50)
+        made.record_pace(number / 50, 0)
     assert made.next_at(2.0) is None
 
 
-def test_more_calls_and_more_changes_and_a_lower_cost_are_reasons_for_more_samples() -> None:
+def test_more_calls_more_changes_and_a_lower_cost_shorten_the_interval() -> None:
     usual = interval(plan(20.0))
     assert usual is not None
     for fewer in (plan(10.0), plan(20.0, flips=False), plan(20.0, cost=0.08)):
@@ -48,12 +48,12 @@
         assert rarer is None or rarer > usual
 
 
-def test_samples_cost_as_much_as_they_save() -> None:
-    """Four times the cost halves their number, above the shortest time between two."""
-    cheap, dear = interval(plan(20.0, cost=0.05)), interval(plan(20.0, cost=0.2))
-    assert cheap is not None
-    assert dear is not None
-    assert dear / cheap == pytest.approx(2.0, rel=0.05)
+def test_the_interval_grows_with_the_square_root_of_the_cost() -> None:
+    """Four times the cost doubles the interval, above the minimum."""
+    low_cost, high_cost = interval(plan(20.0, cost=0.05)), interval(plan(20.0, cost=0.2))
+    assert low_cost is not None
+    assert high_cost is not None
+    assert high_cost / low_cost == pytest.approx(2.0, rel=0.05)
 
 
 def test_without_calls_or_at_a_cost_of_zero_no_samples_are_taken() -> None:
@@ -62,29 +62,29 @@
     assert plan(1.0, cost=1.0).next_at(10.0) is None
 
 
-def test_an_answer_that_tells_the_pace_is_as_good_as_a_sample() -> None:
+def test_an_answer_with_a_pace_postpones_the_next_sample() -> None:
     made = plan(20.0)
     before = made.next_at(10.0)
-    made.heard(10.01, 100)
+    made.record_pace(10.01, 100)
     after = made.next_at(10.01)
     assert before is not None
     assert after is not None
     assert after > before
-    assert LEAST_S <= after - 10.01 < LONGEST_S
+    assert MIN_INTERVAL_S <= after - 10.01 < MAX_INTERVAL_S
 
 
-def test_failed_samples_are_taken_more_and_more_rarely() -> None:
+def test_failed_samples_back_off() -> None:
     made = plan(20.0)
     pauses = []
     for _ in range(12):
-        made.failed(10.0)
+        made.record_failure(10.0)
         pauses.append(interval(made) or 0.0)
-    assert pauses[0] == pytest.approx(BACKOFF_S)
+    assert pauses[0] == pytest.approx(FIRST_BACKOFF_S)
     assert pauses == sorted(pauses)
-    assert pauses[-1] == pytest.approx(BACKOFF_LONGEST_S)
+    assert pauses[-1] == pytest.approx(MAX_BACKOFF_S)
 
 
-def test_a_pace_is_another_one_from_half_as_much_again() -> None:
+def test_a_pace_has_changed_at_a_ratio_of_one_and_a_half() -> None:
     assert is_change(100, 150)
     assert is_change(500, 100)
     assert not is_change(100, 149)
