--- a/foldhoist/delivery/owner_admission.py
+++ b/foldhoist/delivery/owner_admission.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from foldhoist.delivery.shed_guard import SHEDS_ALL
-from foldhoist.quarantine.table import HELD
+from foldhoist.quarantine.table import QUARANTINED
 
 if TYPE_CHECKING:
     from foldhoist.delivery.quarantined_calls import QuarantinedCalls
@@ -48,7 +48,7 @@
         if not self._tickets.has_room(req):
             return Rejection("bodies-full")
         if remaining_s := self._quarantined.remaining_s(now, req):
-            return Rejection(HELD, remaining_s)
+            return Rejection(QUARANTINED, remaining_s)
         if self._shed_guard.refuses(now):
             return Rejection(SHEDS_ALL, self._shed_guard.retry_after_s(now))
         return None
--- a/foldhoist/delivery/quarantined_calls.py
+++ b/foldhoist/delivery/quarantined_calls.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from foldhoist.delivery.dispatch import CancelCall, QuarantineCalls, dispatch_identity
-from foldhoist.quarantine.table import HELD
+from foldhoist.quarantine.table import QUARANTINED
 
 if TYPE_CHECKING:
     from foldhoist.delivery.dispatch import Action, Counters
@@ -40,19 +40,21 @@
         it retries one of them.
         """
         found = [ticket for each in ticket_ids if (ticket := self._tickets.get(each)) is not None]
-        changed = self._quarantine.crashed(now, {ticket.identity for ticket in found})
-        quarantined = [row["call"] for row in changed if self._quarantine.held_s(now, row["call"])]
+        changed = self._quarantine.record_crash(now, {ticket.identity for ticket in found})
+        quarantined = [
+            row["call"] for row in changed if self._quarantine.remaining_s(now, row["call"])
+        ]
         return [*self._reports.crashes(changed), *self._quarantine_calls(quarantined)]
 
     def merge(self, now: float, suspects: list[Suspect]) -> list[Action]:
         """Merge what another daemon knows of calls that crash upstreams."""
-        return self._quarantine_calls(self._quarantine.learned(now, suspects))
+        return self._quarantine_calls(self._quarantine.merge(now, suspects))
 
     def remaining_s(self, now: float, req: Dispatch) -> float:
         """Return how long the call stays quarantined, seconds; 0 if it may run."""
-        if not self._quarantine.holding:
+        if not self._quarantine.active:
             return 0.0
-        return self._quarantine.held_s(now, dispatch_identity(req))
+        return self._quarantine.remaining_s(now, dispatch_identity(req))
 
     def _quarantine_calls(self, calls: list[str]) -> list[Action]:
         """Refuse waiting calls that are quarantined and cancel running ones.
@@ -67,5 +69,5 @@
         for ticket_id in found:
             ticket = self._tickets[ticket_id]
             if ticket.running and ticket.request["repeatable"]:
-                actions.append(CancelCall(ticket_id, HELD))
-        return actions + self._waiting.refuse(found, HELD)
+                actions.append(CancelCall(ticket_id, QUARANTINED))
+        return actions + self._waiting.refuse(found, QUARANTINED)
--- a/tests/unit/delivery/test_owner_cold.py
+++ b/tests/unit/delivery/test_owner_cold.py
@@ -9,7 +9,7 @@
 
 from foldhoist.admission.cold import ColdRate
 from foldhoist.admission.due import DueQueue
-from foldhoist.admission.slots import Shape
+from foldhoist.admission.slots import QueueLimits
 from foldhoist.delivery.dispatch import Sample, SendTo, StartCall
 from foldhoist.delivery.owner import Owner
 from foldhoist.delivery.upstream_status import EVACUATED
@@ -25,8 +25,8 @@
 
 
 def make(name: str, quarantine: Quarantine) -> Owner:
-    queue = DueQueue(Shape(30, 60, 0, 8))
-    owner = Owner(name, "depo", Shape(30, 60, 0, 8), 600.0, queue, None, quarantine)
+    queue = DueQueue(QueueLimits(30, 60, 0, 8))
+    owner = Owner(name, "depo", QueueLimits(30, 60, 0, 8), 600.0, queue, None, quarantine)
     owner.hello(0.0, 1, hello("in-1", 1))
     owner.set_cold_rate(-100.0, RATE)
     return owner
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -32,7 +32,7 @@
     Ablation(
         "waiting-for-slow-spells",
         "foldhoist/admission/due.py",
-        "return not self.pace.is_worth_waiting(now, wish.expect_s)",
+        "return not self.pace.is_worth_waiting(now, call.expect_s)",
         "return True",
     ),
     Ablation(
@@ -43,15 +43,15 @@
     ),
     Ablation(
         "yielding-ranks",
-        "foldhoist/admission/shares.py",
-        "if decisions.counted(now) >= LEAST_DECISIONS:",
+        "foldhoist/admission/refusal_rates.py",
+        "if decisions.total(now) >= MIN_DECISIONS:",
         "if False:",
     ),
     Ablation(
         "rank-in-the-order",
         "foldhoist/admission/due.py",
-        "RANK_S = 0.02",
-        "RANK_S = 0.0",
+        "RANK_DELAY_S = 0.02",
+        "RANK_DELAY_S = 0.0",
     ),
     Ablation(
         "nested-calls-first",
@@ -62,7 +62,7 @@
     Ablation(
         "late-behind-timely",
         "foldhoist/admission/due.py",
-        "if now + wish.expect_s > (wish.timely or wish.due):",
+        "if now + call.expect_s > (call.on_time_by or call.due):",
         "if False:",
     ),
     Ablation(
@@ -115,9 +115,9 @@
     ),
     Ablation(
         "slots-below-the-knee",
-        "foldhoist/admission/crowding.py",
-        "SLOWER = 1.3",
-        "SLOWER = 1e9",
+        "foldhoist/admission/concurrency_limit.py",
+        "MAX_SLOWDOWN = 1.3",
+        "MAX_SLOWDOWN = 1e9",
     ),
 )
 
