--- a/foldhoist/configlog/__init__.py
+++ b/foldhoist/configlog/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration as a fold over the platform's log; no I/O."""
+"""Configuration versions, their distribution, and evacuations; no I/O."""
--- a/foldhoist/configlog/evacuations.py
+++ b/foldhoist/configlog/evacuations.py
@@ -1,8 +1,8 @@
-"""Which data centres an operator has evacuated, as one daemon knows it; no I/O, no clock.
+"""The data centres that an operator has evacuated, as known to one daemon; no I/O, no clock.
 
-The operator writes a record for each evacuation and drops it to end it. What stands follows from
-the records below an offset of the operator's log, so the offset says which of two states is newer.
-A state is taken whole or not at all, and never goes back.
+The operator writes a record to evacuate a data centre and deletes it to end the evacuation. The
+records below an offset of the operator's log determine the state, so the state with the greater
+offset is newer. States are replaced completely, and only by newer ones.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 
 class Evacuation(NamedTuple):
-    """An operator's record: nothing goes to the upstreams of a data centre, or that has ended."""
+    """An operator's record; while in force, no calls go to the data centre's upstreams."""
 
     data_centre: str
     in_force: bool
 
 
 class StoredEvacuations(NamedTuple):
-    """Evacuations as the store tells them.
+    """Evacuations as read from the store.
 
-    `records` are all that stand below the offset `at` if they are `whole`, else what was written
-    since the last read, in order.
+    If `complete`, `records` are all evacuations in force below the offset `at`; else they are the
+    records since the last read, in order.
     """
 
     at: int
@@ -33,17 +33,17 @@
 
 
 class Evacuations:
-    """The evacuations that stand below an offset of the operator's log; 0 if none was read."""
+    """The evacuations in force below the offset `at` of the operator's log, 0 before any read."""
 
     def __init__(self) -> None:
         self.at = 0
         self.data_centres: frozenset[str] = frozenset()
 
     def apply_stored(self, stored: StoredEvacuations) -> bool:
-        """Take in what the store tells; returns whether other data centres are evacuated now.
+        """Apply what was read from the store; returns whether the evacuated data centres changed.
 
-        News may begin below the offset that is known, from a peer. Taking them in again ends at the
-        same state, since the last record of each data centre counts.
+        The records may begin below the current offset, which a peer may have advanced. Applying
+        them again gives the same state, since the last record of each data centre counts.
         """
         if stored.at <= self.at:
             return False
@@ -56,13 +56,13 @@
         return self._set(stored.at, frozenset(names))
 
     def apply_peer(self, evacuated: Evacuated) -> bool:
-        """Take in what a peer holds; returns whether other data centres are evacuated now."""
+        """Apply a peer's state if newer; returns whether the evacuated data centres changed."""
         if evacuated["at"] <= self.at:
             return False
         return self._set(evacuated["at"], frozenset(evacuated["data_centres"]))
 
     def as_message(self) -> Evacuated:
-        """Return what peers are told."""
+        """Return the state as a message to peers."""
         return {"at": self.at, "data_centres": sorted(self.data_centres)}
 
     def _set(self, at: int, data_centres: frozenset[str]) -> bool:
--- a/foldhoist/configlog/fold.py
+++ b/foldhoist/configlog/fold.py
@@ -1,7 +1,7 @@
-"""The configuration as a fold over the platform's log: the same function at every reader.
+"""The configuration as a fold over the platform's log, deterministic at every reader.
 
-A state says which generation is in force after every record below an offset. It is exact if no
-record can have been missed; only an exact state may accept a proposal.
+A state holds the generation in force after all records below an offset. It is exact if no record
+can have been missed; only an exact state accepts proposals.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
     from foldhoist.schema.messages import Outcome, Publish, Snapshot
 
 MAX_OUTCOMES = 64
-"""Outcomes of publish ids that a state remembers."""
+"""Most outcomes of publish ids that a state keeps; the oldest is dropped."""
 
 
 class State(NamedTuple):
-    """A folded log; `folded` is the offset of the next record to fold."""
+    """The result of folding a log; `folded` is the offset of the next record to fold."""
 
     generation: int = 0
     digest: str = ""
@@ -37,7 +37,7 @@
 
 
 class SnapshotRecord(NamedTuple):
-    """A state that a daemon wrote again, at an offset of the log."""
+    """A state that a daemon rewrote to the log, at an offset of the log."""
 
     offset: int
     body: Snapshot
@@ -76,7 +76,7 @@
 
 
 def outcome_of(state: State, publish_id: str) -> Outcome | None:
-    """Return what became of a publish id, or None if the state does not know it."""
+    """Return the outcome of a publish id, or None if the state does not hold it."""
     for outcome in state.outcomes:
         if outcome["publish_id"] == publish_id:
             return outcome
@@ -84,10 +84,10 @@
 
 
 def initial_state(records: Sequence[LogRecord], oldest: int) -> State:
-    """Return where a reader without state starts: `records` are all that the log keeps.
+    """Return the state from which a new reader folds; `records` are all that the log retains.
 
-    With every record kept that is the empty state; else it is the first kept state that is exact
-    and after which no record is missing; else nothing exact is known.
+    That is the empty state if the log is complete (`oldest` is 0), else the first exact snapshot
+    after which no record is missing, else an empty state that is not exact.
     """
     if oldest == 0:
         return State()
@@ -100,7 +100,7 @@
 
 
 def fold_all(records: Sequence[LogRecord], oldest: int) -> State:
-    """Return the state that all the records that a log keeps add up to."""
+    """Return the state after all records that a log retains."""
     state = initial_state(records, oldest)
     for record in records:
         state = fold(state, record)
@@ -108,17 +108,17 @@
 
 
 def skip_to(state: State, oldest: int) -> State:
-    """Return the state before the oldest record kept; it is not exact if records are missing."""
+    """Advance a state to the offset `oldest`; it is not exact if records were skipped."""
     if state.folded >= oldest:
         return state
     return state._replace(folded=oldest, exact=False)
 
 
 def merge(state: State, other: State) -> State:
-    """Return what both states together tell; neither generation is ever lost.
+    """Return the merge of two states; its generation is the greater of the two.
 
-    An exact state that has folded at least as far as an inexact one takes its place. The
-    generation never falls: exact states are all prefixes of one history.
+    An exact state replaces an inexact one of the same or an older generation. Exact states are all
+    prefixes of one history.
     """
     if other.exact and not state.exact and other.generation >= state.generation:
         return other
@@ -132,7 +132,7 @@
 
 
 def fold(state: State, record: LogRecord) -> State:
-    """Return the state after one more record; a record folded before changes nothing."""
+    """Return the state after a record; a record that was folded before is ignored."""
     if record.offset < state.folded:
         return state
     state = skip_to(state, record.offset)
--- a/foldhoist/configlog/publisher.py
+++ b/foldhoist/configlog/publisher.py
@@ -1,4 +1,4 @@
-"""An operator's proposal, step by step: what to do next, from what the log shows; no I/O."""
+"""The steps that publish an operator's proposal, decided from the state of the log; no I/O."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
     from foldhoist.schema.messages import Publish
 
 MAX_APPENDS = 5
-"""Appends of one proposal, the first included; all carry one publish id."""
+"""Most appends of one proposal, the first included; all carry the same publish id."""
 
 
 class Append(NamedTuple):
-    """Append this record, then read the log and ask again."""
+    """Append this record, read the log, then ask for the next step."""
 
     body: Publish
 
@@ -32,7 +32,7 @@
 
 
 class Unknown(NamedTuple):
-    """It cannot be told; ask again with the publish id."""
+    """The outcome is unknown; it can be asked for again with the publish id."""
 
     why: str
 
@@ -41,18 +41,18 @@
 
 
 def new_publish_id(base: State, unique: str) -> str:
-    """Return a publish id; it names the generation that the proposal is based on."""
+    """Return a publish id that contains the generation on which the proposal is based."""
     return f"{base.generation}-{unique}"
 
 
 def base_generation(publish_id: str) -> int | None:
-    """Return the generation that a publish id is based on, or None if it is no publish id."""
+    """Return the generation in a publish id, or None if it is malformed."""
     number, dash, _ = publish_id.partition("-")
     return int(number) if dash and number.isdigit() else None
 
 
 class Publisher:
-    """One proposal with one publish id, which may be sent several times."""
+    """Publishes one proposal, which may be appended several times under its publish id."""
 
     def __init__(self, publish_id: str, content: str) -> None:
         self.publish_id = publish_id
@@ -61,7 +61,7 @@
         self._appends = 0
 
     def next(self, state: State | None) -> Step:
-        """Return the next step; `state` is the log as just read, None if it could not be read."""
+        """Return the next step; `state` is that of the log just read, None if reading failed."""
         outcome = outcome_of(state, self.publish_id) if state is not None else None
         if outcome is not None and outcome["generation"]:
             return Accepted(outcome["generation"])
@@ -70,13 +70,13 @@
         if state is None:
             return Unknown("the log could not be read")
         if not state.exact:
-            return Unknown("the log does not hold enough to tell which generation is in force")
+            return Unknown("the log does not show which generation is in force")
         if state.generation != self._base:
             return Unknown(
-                f"generation {state.generation} is in force, and what became of the id is forgotten"
+                f"generation {state.generation} is in force, and the outcome of the id is not known"
             )
         if self._appends >= MAX_APPENDS:
-            return Unknown("the log did not show the proposal")
+            return Unknown("the proposal did not appear in the log")
         self._appends += 1
         return Append(self._record(state))
 
--- a/foldhoist/configlog/refresh.py
+++ b/foldhoist/configlog/refresh.py
@@ -1,4 +1,4 @@
-"""When a reader writes the current generation to the log again, so that it never expires."""
+"""Decides when a reader rewrites the current state to the log, before the log expires it."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
     from foldhoist.configlog.fold import LogRecord, State
 
 REFRESH_JITTER = 0.25
-"""The random wait before a record is written again, as a share of its age limit."""
+"""Longest random delay of a rewrite, as a share of the age limit; the retry delay, too."""
 MAX_STALE_WAIT_S = 1.0
-"""Longest random wait before a stale record is answered, seconds."""
+"""Longest random delay of the rewrite that follows an outdated snapshot, seconds."""
 
 
 class SnapshotRefresher:
-    """Decides when to write; `now` is monotonic seconds, `keep_s` the age limit."""
+    """Schedules rewrites of the state; `now` and the age limit `max_age_s` are in seconds."""
 
     def __init__(self, max_age_s: float, rng: Random) -> None:
         self.max_age_s = max_age_s
@@ -27,7 +27,7 @@
         self._generation = 0
 
     def observe(self, now: float, record: LogRecord, state: State) -> None:
-        """Take in a record of the log; `state` is the one after it."""
+        """Schedule the next rewrite after a record of the log; `state` includes the record."""
         match record:
             case SnapshotRecord(_, body) if body["generation"] < state.generation:
                 due = now + self._rng.random() * MAX_STALE_WAIT_S
@@ -39,7 +39,7 @@
         self._due = now + self.max_age_s * (1.0 + REFRESH_JITTER * self._rng.random())
 
     def is_due(self, now: float, state: State) -> bool:
-        """Return whether this reader writes the state now; it must be exact."""
+        """Return whether to write the state now; only an exact one with a generation is written."""
         if not state.exact or not state.generation:
             return False
         if self._due is None or state.generation != self._generation:
@@ -48,5 +48,5 @@
         return now >= self._due
 
     def write_attempted(self, now: float) -> None:
-        """Take in that a write was tried; the log will show it, or another try follows."""
+        """Schedule a retry in case the write does not appear in the log."""
         self._due = now + max(1.0, self.max_age_s * REFRESH_JITTER)
--- a/foldhoist/configlog/spread.py
+++ b/foldhoist/configlog/spread.py
@@ -1,6 +1,7 @@
-"""How a generation spreads: readers per data centre, a fan-out tree, and questions to peers.
+"""Distribution of generations: readers per data centre, a fan-out tree, and requests to peers.
 
-Answers tell how long ago somebody read the log. Where that gets old, the next in order read it.
+Answers carry the time since the last read of the log. When that is too long ago, further daemons
+read the log, in the order of their ranks.
 """
 
 from __future__ import annotations
@@ -17,21 +18,25 @@
 
 
 PREFERRED_PEERS = 6
-"""Daemons of each data centre, first in its order, that the others ask."""
+"""First daemons in the order of a data centre, which the others ask."""
 RANDOM_PEER_SHARE = 0.25
-"""Share of questions that go to anybody of the data centre."""
+"""Share of requests that go to a random peer of the data centre."""
 MAX_UNANSWERED = 2
-"""Questions in a row without an answer after which a peer is passed over for a while."""
+"""Requests in a row without an answer after which a peer is not asked for `SILENT_S`."""
 SILENT_S = 10.0
-"""How long a silent peer is passed over, seconds."""
+"""Time for which a silent peer is not asked, if others can be, seconds."""
 MAX_AGE_INTERVALS = 2.5
-"""A daemon reads the log itself when what it hears of it is older than this many questions."""
+"""A daemon reads the log if the last known read is older than this many ask intervals."""
 MAX_AGE_INTERVALS_PER_RANK = 0.05
-"""For each place behind the readers it waits this many questions longer."""
+"""Ask intervals added to that age for each rank in the order of the data centre."""
 
 
 class Role(NamedTuple):
-    """One daemon's place in the spread; everyone with the same configuration finds the same."""
+    """A daemon's role in the distribution, the same at all daemons with one configuration.
+
+    `children` get new generations from it; it asks the `preferred` peers. `others` are the other
+    daemons of its data centre.
+    """
 
     rank: int
     reader: bool
@@ -41,7 +46,7 @@
 
 
 UNLISTED = Role(0, True, (), (), ())
-"""The place of a daemon without configuration: it reads the log."""
+"""Role of a daemon without configuration, which reads the log."""
 
 
 def role_of(
@@ -51,7 +56,7 @@
     readers: int,
     fanout: int,
 ) -> Role:
-    """Return a daemon's place: readers push to the others through a tree with this fan-out."""
+    """Return a daemon's role; readers push to the others through a tree with this fan-out."""
     order = ranked(by_data_centre.get(own_data_centre, []), own_data_centre)
     others = tuple(each for each in order if each != name)
     if name not in order:
@@ -67,7 +72,7 @@
 
 
 class PeerSelector:
-    """Whom to ask next, and what the answers tell of the log; `now` is monotonic seconds."""
+    """Selects peers to ask and tracks the last read of the log; `now` is monotonic seconds."""
 
     def __init__(self, name: str, ask_interval_s: float, rng: Random) -> None:
         self.name = name
@@ -93,12 +98,12 @@
         return asked
 
     def random_peers(self, count: int) -> list[str]:
-        """Return some peers of the data centre, drawn by lot."""
+        """Return up to `count` random peers of the data centre."""
         others = self.role.others
         return self._rng.sample(others, min(count, len(others)))
 
     def on_answer(self, now: float, held: Held, behind: bool) -> None:
-        """Take in an answer; one of a peer that is `behind` tells nothing of the log."""
+        """Handle an answer; that of a peer that is `behind` does not count as a read of the log."""
         self._unanswered.pop(held["name"], None)
         self._silent_until.pop(held["name"], None)
         if behind or not held["reader"] or held["reader"] == self.name:
@@ -109,14 +114,14 @@
             self._log_reader = held["reader"]
 
     def should_read(self, now: float) -> bool:
-        """Return whether this daemon reads the log: by its place, or since others seem not to."""
+        """Return whether this daemon reads the log: by its role, or since the last read is old."""
         if self.role.reader:
             return True
         intervals = MAX_AGE_INTERVALS + MAX_AGE_INTERVALS_PER_RANK * self.role.rank
         return now - self._log_read_at > intervals * self.ask_interval_s
 
     def freshness(self, now: float, own_read: float) -> tuple[str, int]:
-        """Return who read the log last, and how long ago in milliseconds."""
+        """Return the name of the last reader of the log, empty if unknown, and the age in ms."""
         at, reader = self._log_read_at, self._log_reader
         if own_read > at:
             at, reader = own_read, self.name
--- a/foldhoist/configlog/versions.py
+++ b/foldhoist/configlog/versions.py
@@ -1,7 +1,7 @@
-"""Which version of the configuration a daemon holds, and who reads the store; no I/O.
+"""The version of the configuration that a daemon holds, and the election of readers; no I/O.
 
-A few daemons of each data centre wait at the store for news and pass them on. Who they are follows
-from the list of peers; whoever hears of no reader that hears from the store steps in.
+A few daemons of each data centre wait for changes in the store and pass them on. The list of peers
+determines the readers. If no reader reports an answer of the store, other daemons take over.
 """
 
 from __future__ import annotations
@@ -15,61 +15,61 @@
     from collections.abc import Iterable
 
 READERS = 2
-"""Daemons of each data centre that wait at the store."""
+"""Daemons of each data centre that read the store by default."""
 REPORT_INTERVAL_S = 0.5
-"""Time between two words of a reader to its data centre, seconds."""
+"""Interval of a reader's reports to its data centre, seconds."""
 REPORT_TIMEOUT_S = 1.3
-"""A reader that has said nothing for this long does not count, seconds."""
+"""A report older than this does not count, seconds."""
 TAKEOVER_STEP_S = 0.25
-"""Each place in the order waits this much longer before it steps in, seconds."""
+"""Additional delay of the takeover for each rank behind the readers, seconds."""
 NO_ANSWER_AGE_MS = 3_600_000
-"""Age told by a daemon that the store does not answer, milliseconds."""
+"""Age reported by a daemon that the store does not answer, the greatest one, milliseconds."""
 
 
 class Version(NamedTuple):
-    """A whole configuration as the store keeps it; number 0 is none."""
+    """A complete configuration as stored; number 0 means none."""
 
     number: int
     content: bytes
 
 
 class Reply(Enum):
-    """What to answer a peer that tells which version it holds."""
+    """The answer to a peer that reports the version it holds."""
 
     NOTHING = "nothing"
     CONTENT = "content"
-    """It lacks what is held here."""
+    """Send the content: the peer holds an older version."""
     NUMBER = "number"
-    """It asked, and holds the same."""
+    """Send the number: the peer asked, and there is nothing else to send."""
     REQUEST = "request"
-    """It holds what is lacking here."""
+    """Request the content: the peer holds a newer version."""
 
 
 class CurrentVersion:
-    """The version in force in one life of a daemon; it never goes back."""
+    """The version in force in one incarnation of a daemon; its number never decreases."""
 
     def __init__(self) -> None:
         self.version = Version(0, b"")
-        self._refused: set[int] = set()
+        self._unusable: set[int] = set()
 
     def wants(self, number: int) -> bool:
-        """Return whether a version is newer than what is in force, and not known as unusable.
+        """Return whether a version is newer than the one in force and not known to be unusable.
 
         A daemon that starts while the newest version is unusable takes an older one from a peer.
         """
-        return number > self.version.number and number not in self._refused
+        return number > self.version.number and number not in self._unusable
 
     def adopt(self, version: Version) -> None:
         """Put a wanted version in force."""
         self.version = version
-        self._refused = {number for number in self._refused if number > version.number}
+        self._unusable = {number for number in self._unusable if number > version.number}
 
-    def refuse(self, version: Version) -> None:
-        """Note that a wanted version cannot be used: what is in force stays."""
-        self._refused.add(version.number)
+    def mark_unusable(self, version: Version) -> None:
+        """Mark a wanted version as unusable; the version in force stays."""
+        self._unusable.add(version.number)
 
     def reply(self, number: int, asked: bool) -> Reply:
-        """Return what to answer a peer that holds this version; `asked` if it wants an answer."""
+        """Return the answer to a peer that holds this version; `asked` if it wants an answer."""
         if number < self.version.number:
             return Reply.CONTENT
         if self.wants(number):
@@ -78,7 +78,10 @@
 
 
 class ReaderElection:
-    """Who reads the store, as one daemon sees it; `now` is in seconds, monotonic."""
+    """Decides whether a daemon reads the store; `now` is in monotonic seconds.
+
+    A report counts while the store's last answer to its sender is at most `max_age_s` old.
+    """
 
     def __init__(self, name: str, max_age_s: float) -> None:
         self.name = name
@@ -89,18 +92,18 @@
         self._started_at: float | None = None
 
     def set_peers(self, names: Iterable[str]) -> None:
-        """Take over the daemons of this data centre, this one included."""
+        """Set the daemons of this data centre, this one included."""
         names = list(names)
         if len(names) == len(self._order) and set(names) == set(self._order):
             return
         self._order = ranked(names, "readers")
 
     def on_report(self, now: float, name: str, age_s: float) -> None:
-        """Take in how long ago the store answered a peer."""
+        """Handle a peer's report that the store answered it `age_s` ago."""
         self._reports[name] = (now, age_s)
 
     def should_read(self, now: float) -> bool:
-        """Return whether this daemon is to wait at the store."""
+        """Return whether this daemon should read the store."""
         if self._started_at is None:
             self._started_at = now
         rank = self._order.index(self.name) if self.name in self._order else 0
@@ -110,7 +113,7 @@
             self._uncovered_since = None
             return False
         if self._uncovered_since is None:
-            # A new life gives the readers the time between two words to tell that they read.
+            # After a start, wait for one report interval, so that readers can report.
             self._uncovered_since = max(now, self._started_at + REPORT_INTERVAL_S)
         return now - self._uncovered_since >= (rank - READERS) * TAKEOVER_STEP_S
 
--- a/foldhoist/daemon/versions_task.py
+++ b/foldhoist/daemon/versions_task.py
@@ -276,7 +276,7 @@
             return False
         translated = self._adapter.translate(version)
         if translated.is_error():
-            self.held.refuse(version)
+            self.held.mark_unusable(version)
             self.count.refused += 1
             logger.error("version {} cannot be used: {}", version.number, translated.error)
             return False
--- a/tests/model/spread_spec.py
+++ b/tests/model/spread_spec.py
@@ -57,7 +57,7 @@
     held = CurrentVersion()
     held.adopt(Version(world.held[daemon], b""))
     if world.refused[daemon]:
-        held.refuse(Version(world.refused[daemon], b""))
+        held.mark_unusable(Version(world.refused[daemon], b""))
     return held
 
 
@@ -120,7 +120,7 @@
         if not held.wants(number) and self.rules.never_back:
             return world
         if number == UNUSABLE and self.rules.whole_or_not:
-            held.refuse(Version(number, b""))
+            held.mark_unusable(Version(number, b""))
             if not self.rules.refused_stays_refused:
                 held = CurrentVersion()
         else:
--- a/tests/unit/configlog/__init__.py
+++ b/tests/unit/configlog/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the configuration log, versions and evacuations."""
--- a/tests/unit/configlog/test_evacuations.py
+++ b/tests/unit/configlog/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Which data centres are evacuated, as told by the store and by peers."""
+"""Tests of evacuations read from the store and received from peers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def evacuated_by(records: list[Evacuation]) -> frozenset[str]:
-    """Return what stands after these records."""
+    """Return the data centres evacuated after these records."""
     last = {record.data_centre: record.in_force for record in records}
     return frozenset(name for name, in_force in last.items() if in_force)
 
@@ -22,18 +22,18 @@
 
 
 @given(RECORDS, st.data())
-def test_whatever_is_heard_in_between_the_records_below_the_offset_count(
+def test_the_state_follows_from_the_records_below_the_offset(
     records: list[Evacuation], data: st.DataObject
 ) -> None:
-    """News are read from where the last read ended, also below what a peer has told meanwhile."""
+    """A read continues where the last one ended, which may be below a peer's offset."""
     held = Evacuations()
     position = data.draw(st.integers(0, len(records)))
     held.apply_stored(complete(records[:position]))
     while position < len(records):
         until = data.draw(st.integers(position + 1, len(records)))
-        told_by_peer = data.draw(st.integers(0, len(records)))
-        names = sorted(evacuated_by(records[:told_by_peer]))
-        held.apply_peer({"at": told_by_peer, "data_centres": names})
+        peer_offset = data.draw(st.integers(0, len(records)))
+        names = sorted(evacuated_by(records[:peer_offset]))
+        held.apply_peer({"at": peer_offset, "data_centres": names})
         before = held.at
         held.apply_stored(StoredEvacuations(until, False, tuple(records[position:until])))
         position = until
@@ -41,7 +41,7 @@
         assert held.data_centres == evacuated_by(records[: held.at])
 
 
-def test_only_what_changes_is_news() -> None:
+def test_only_a_change_of_data_centres_is_reported() -> None:
     held = Evacuations()
     assert held.apply_stored(StoredEvacuations(3, True, (Evacuation("a", True),)))
     assert not held.apply_stored(StoredEvacuations(4, False, (Evacuation("a", True),)))
--- a/tests/unit/configlog/test_fold.py
+++ b/tests/unit/configlog/test_fold.py
@@ -47,14 +47,16 @@
     assert [outcome["generation"] for outcome in state.outcomes] == [1, 0]
 
 
-def test_a_proposal_whose_digest_lies_is_rejected() -> None:
+def test_a_proposal_with_a_wrong_digest_is_rejected() -> None:
     record = publish(0, State(), "a")
     record.body["content"] = "b"
     assert fold(State(), record).generation == 0
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.text(max_size=3)), max_size=12))
-def test_folding_again_or_in_pieces_gives_the_same(proposals: list[tuple[int, str]]) -> None:
+def test_folding_records_again_or_in_parts_gives_the_same_state(
+    proposals: list[tuple[int, str]],
+) -> None:
     states = [State()]
     records = []
     for offset, (back, content) in enumerate(proposals):
@@ -70,7 +72,7 @@
     assert generations == sorted(generations)
 
 
-def test_a_late_reader_starts_at_a_kept_state_and_is_exact() -> None:
+def test_a_late_reader_starts_from_a_snapshot_and_is_exact() -> None:
     first = fold(State(), publish(0, State(), "a"))
     keep = SnapshotRecord(1, to_snapshot(first))
     after = publish(2, first, "b")
@@ -85,12 +87,12 @@
     assert (state.generation, state.exact) == (1, False)
 
 
-def test_a_snapshot_comes_back() -> None:
+def test_a_snapshot_round_trips() -> None:
     state = fold(State(), publish(0, State(), "a"))
     assert from_snapshot(to_snapshot(state)) == state
 
 
-def test_merging_never_loses_a_generation() -> None:
+def test_a_merge_keeps_the_greatest_generation() -> None:
     old = State(1, digest_of("a"), "a", 5)
     new = State(2, digest_of("b"), "b", 9)
     guess = new._replace(exact=False)
@@ -110,7 +112,7 @@
     assert publisher.next(state) == Accepted(1)
 
 
-def test_a_publisher_that_lost_is_told_why() -> None:
+def test_a_proposal_on_an_old_base_is_rejected() -> None:
     publisher = Publisher("0-x", "a")
     step = publisher.next(State())
     assert isinstance(step, Append)
@@ -118,13 +120,13 @@
     assert isinstance(publisher.next(state), Rejected)
 
 
-def test_asking_again_much_later_never_appends() -> None:
+def test_a_proposal_with_an_unknown_outcome_is_not_appended_again() -> None:
     state = State(9, digest_of("z"), "z", 50)
     assert isinstance(Publisher("3-x", "a").next(state), Unknown)
     assert isinstance(Publisher("9-x", "a").next(state._replace(exact=False)), Unknown)
     assert isinstance(Publisher("9-x", "a").next(None), Unknown)
 
 
-def test_a_publish_id_names_its_base() -> None:
+def test_a_publish_id_contains_its_base_generation() -> None:
     assert base_generation("12-abc") == 12
     assert base_generation("abc") is None
--- a/tests/unit/configlog/test_versions.py
+++ b/tests/unit/configlog/test_versions.py
@@ -1,4 +1,4 @@
-"""Who reads the store, as seen by each daemon of a data centre."""
+"""Tests of the election of readers and of the version that a daemon holds."""
 
 from __future__ import annotations
 
@@ -23,52 +23,56 @@
     return found
 
 
-def reading(found: dict[str, ReaderElection], now: float, told_by: list[str]) -> list[str]:
-    """Return who reads, when `told_by` have just said that the store answers them."""
-    for name in told_by:
+def daemons_that_read(
+    found: dict[str, ReaderElection], now: float, reported_by: list[str]
+) -> list[str]:
+    """Return the daemons that read after `reported_by` report that the store answers them."""
+    for name in reported_by:
         for other, readers in found.items():
             if other != name:
                 readers.on_report(now, name, 0.0)
     return [name for name, readers in found.items() if readers.should_read(now)]
 
 
-def test_everybody_finds_the_same_few_readers() -> None:
+def test_all_daemons_elect_the_same_readers() -> None:
     found = all_readers()
-    first = reading(found, 0.0, NAMES)
+    first = daemons_that_read(found, 0.0, NAMES)
     assert len(first) == READERS
-    assert reading(found, 0.1, first) == first
+    assert daemons_that_read(found, 0.1, first) == first
 
 
-def test_when_no_reader_is_heard_the_others_step_in_one_after_the_other() -> None:
+def test_without_reports_the_other_daemons_take_over_one_after_the_other() -> None:
     found = all_readers()
-    first = reading(found, 0.0, NAMES)
+    first = daemons_that_read(found, 0.0, NAMES)
     silent = REPORT_TIMEOUT_S + 0.1
-    assert set(reading(found, silent, [])) >= set(first)
-    counts = [len(reading(found, silent + step * TAKEOVER_STEP_S, [])) for step in range(1, 6)]
+    assert set(daemons_that_read(found, silent, [])) >= set(first)
+    counts = [
+        len(daemons_that_read(found, silent + step * TAKEOVER_STEP_S, [])) for step in range(1, 6)
+    ]
     assert counts == sorted(counts)
     assert counts[-1] == len(NAMES)
 
 
-def test_a_new_life_gives_the_readers_time_to_tell() -> None:
-    """Each restart read the configuration from the store, though others had read it long ago."""
+def test_a_restarted_daemon_waits_for_reports_before_it_takes_over() -> None:
+    """A restarted daemon must not read the store before the readers could report."""
     found = all_readers()
-    first = reading(found, 0.0, [])
+    first = daemons_that_read(found, 0.0, [])
     assert len(first) == READERS
-    assert reading(found, REPORT_INTERVAL_S - 0.01, []) == first
-    assert len(reading(found, REPORT_INTERVAL_S + 0.01, [])) > READERS
+    assert daemons_that_read(found, REPORT_INTERVAL_S - 0.01, []) == first
+    assert len(daemons_that_read(found, REPORT_INTERVAL_S + 0.01, [])) > READERS
 
 
-def test_one_that_the_store_answers_is_enough() -> None:
+def test_one_answered_reader_prevents_a_takeover() -> None:
     found = all_readers()
-    first = reading(found, 0.0, NAMES)
+    first = daemons_that_read(found, 0.0, NAMES)
     others = [name for name in NAMES if name not in first]
     for number in range(50):
         now = number * 0.5
-        assert set(reading(found, now, first[:1])) <= set(first)
+        assert set(daemons_that_read(found, now, first[:1])) <= set(first)
     assert others
 
 
-def test_a_reader_that_the_store_does_not_answer_does_not_count() -> None:
+def test_a_report_of_an_old_answer_does_not_count() -> None:
     readers = ReaderElection("d0", 6.0)
     readers.set_peers(NAMES)
     order = [name for name in NAMES if name != "d0"]
@@ -79,14 +83,14 @@
     assert last
 
 
-def test_a_daemon_that_knows_nobody_reads() -> None:
+def test_a_daemon_without_peers_reads() -> None:
     assert ReaderElection("d0", 6.0).should_read(0.0)
 
 
 def test_a_daemon_that_starts_on_an_unusable_version_takes_an_older_one_from_a_peer() -> None:
     held = CurrentVersion()
     assert held.wants(7)
-    held.refuse(Version(7, b"broken"))
+    held.mark_unusable(Version(7, b"broken"))
     assert not held.wants(7)
     assert held.reply(7, asked=False) is Reply.NOTHING
     assert held.reply(6, asked=False) is Reply.REQUEST
@@ -96,7 +100,7 @@
     assert held.wants(8)
 
 
-def test_what_a_peer_is_answered() -> None:
+def test_the_reply_depends_on_the_peers_version() -> None:
     held = CurrentVersion()
     held.adopt(Version(5, b"five"))
     assert held.reply(4, asked=False) is Reply.CONTENT
