--- a/foldhoist/delivery/quarantined_calls.py
+++ b/foldhoist/delivery/quarantined_calls.py
@@ -41,8 +41,10 @@
         """
         found = [ticket for each in ticket_ids if (ticket := self._tickets.get(each)) is not None]
         changed = self._quarantine.record_crash(now, {ticket.identity for ticket in found})
-        held = [row["call"] for row in changed if self._quarantine.remaining_s(now, row["call"])]
-        return [*self._reports.crashes(changed), *self._quarantine_calls(held)]
+        quarantined = [
+            row["call"] for row in changed if self._quarantine.remaining_s(now, row["call"])
+        ]
+        return [*self._reports.crashes(changed), *self._quarantine_calls(quarantined)]
 
     def merge(self, now: float, suspects: list[Suspect]) -> list[Action]:
         """Merge what another daemon knows of calls that crash upstreams."""
