--- a/foldhoist/delivery/__init__.py
+++ b/foldhoist/delivery/__init__.py
@@ -1,1 +1,1 @@
-"""What becomes of a call: attempts, verdicts, idempotency keys; no I/O."""
+"""Delivery of calls: attempts, verdicts and idempotency keys; no I/O."""
--- a/foldhoist/delivery/call.py
+++ b/foldhoist/delivery/call.py
@@ -165,8 +165,8 @@
 class PendingAttempt:
     """An attempt without a result.
 
-    `fate_due` is when the wait for its outcome ends after its connection fell, monotonic seconds,
-    or 0.
+    `fate_due` is when the wait for its outcome ends after a lost connection, monotonic seconds, or
+    0 while it does not wait.
     """
 
     __slots__ = ("candidates", "fate_due", "reason", "sent", "seq", "target")
--- a/foldhoist/delivery/call_finisher.py
+++ b/foldhoist/delivery/call_finisher.py
@@ -1,4 +1,4 @@
-"""Ends calls at an owner: sends results to all ingresses that wait, and keeps them; no I/O."""
+"""Ends calls at an owner: sends results to all ingresses that wait for them; no I/O."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class CallFinisher:
-    """Ends calls: removes their tickets, sends results to all that wait, keeps them until acked."""
+    """Ends calls: removes their tickets and sends results to all that wait for them."""
 
     def __init__(
         self, tickets: Tickets, keys: KeyTable, peers: Peers, reports: LoadReports, count: Counters
@@ -98,7 +98,7 @@
         return frames
 
     def send(self, peer: Peer, seq: int, frame: Frame) -> Action:
-        """Send a result, and keep it until its ingress acknowledges it."""
+        """Send a result; those for other hosts are kept, so that they can be asked for again."""
         if peer.link == LOCAL_LINK:
             return SendTo(LOCAL_LINK, frame)
         self._peers.keep(peer, seq, frame)
--- a/foldhoist/delivery/ingress.py
+++ b/foldhoist/delivery/ingress.py
@@ -43,7 +43,7 @@
     from foldhoist.schema.messages import Answer, Credit, Refusal, Report
 
 FATE_TIMEOUT_S = 1.0
-"""Longest wait for an owner to report the outcome of a call whose connection fell, seconds."""
+"""Longest wait for the outcome of a call after the connection to its owner is lost, seconds."""
 
 
 class Ingress:
--- a/foldhoist/delivery/rules.py
+++ b/foldhoist/delivery/rules.py
@@ -54,7 +54,7 @@
 
     Returns 0 if the service has had no known upstream for a while.
     """
-    if not state.may_appear(now):
+    if not state.has_recent_upstream(now):
         return 0.0
     due = call.arrived + call.objective_s if call.objective_s else call.deadline
     expect_s = state.picker.times.mean(call.route)
--- a/foldhoist/delivery/services.py
+++ b/foldhoist/delivery/services.py
@@ -46,7 +46,7 @@
     window_s: float
 
     def part(self, daemons: int) -> SlackPart:
-        """Return the part of one daemon of this many."""
+        """Return the part of each daemon if there are this many."""
         attempts = self.attempts / max(MIN_DAEMONS, daemons)
         per_s = attempts * SLACK_REFILL_SHARE / self.window_s
         return SlackPart(attempts * SLACK_CAPACITY_SHARE, per_s, self.window_s)
@@ -72,7 +72,7 @@
         elif self.missing_since is None:
             self.missing_since = now
 
-    def may_appear(self, now: float) -> bool:
+    def has_recent_upstream(self, now: float) -> bool:
         """Return whether an upstream is known or was known until recently."""
         return self.missing_since is None or now - self.missing_since < ANNOUNCEMENT_TIMEOUT_S
 
--- a/tests/unit/delivery/test_ingress.py
+++ b/tests/unit/delivery/test_ingress.py
@@ -44,7 +44,7 @@
     ingress = Ingress("a", 100, random.Random(1), quarantine=quarantine)
     ingress.adopt(0.0, 1, fleet, tracked(fleet, "me", "a"), homes(fleet))
     for name in fleet["targets"] if linked else []:
-        ingress.link_up(0.0, name, "life-1")
+        ingress.link_up(0.0, name, "incarnation-1")
     return ingress
 
 
@@ -147,7 +147,7 @@
 def test_a_parked_call_is_sent_when_a_connection_is_made() -> None:
     ingress = make(linked=False)
     assert replies(ingress.arrive(1.0, 1, request())) == []
-    assert len(sent(ingress.link_up(1.1, "depo-1", "life-1"))) == 1
+    assert len(sent(ingress.link_up(1.1, "depo-1", "incarnation-1"))) == 1
 
 
 def test_a_parked_call_is_refused_when_its_wait_ends() -> None:
@@ -188,7 +188,7 @@
     ingress = make()
     (first,) = sent(ingress.arrive(1.0, 1, request("POST")))
     assert ingress.link_lost(1.1, first.target) == []
-    ended = ingress.link_up(1.2, first.target, "life-2")
+    ended = ingress.link_up(1.2, first.target, "incarnation-2")
     assert replies(ended) == [MayHaveRun("owner-restarted")]
 
 
@@ -196,7 +196,7 @@
     ingress = make()
     (first,) = sent(ingress.arrive(1.0, 1, request("POST")))
     ingress.link_lost(1.1, first.target)
-    (asked,) = sent(ingress.link_up(1.2, first.target, "life-1"))
+    (asked,) = sent(ingress.link_up(1.2, first.target, "incarnation-1"))
     assert asked.frame.kind == "FateAsk"
     assert asked.frame.body == {"seqs": [first.frame.body["seq"]]}
 
@@ -223,7 +223,7 @@
 
 
 def test_a_quarantined_call_is_refused_with_the_remaining_time() -> None:
-    quarantine = Quarantine("life")
+    quarantine = Quarantine("incarnation")
     ingress = make(quarantine=quarantine)
     call = identity_of("GET", "/depo/x", [], b"", "")
     quarantine.merge(1.0, [suspect(call, "a/1", "b/1")])
@@ -233,7 +233,7 @@
 
 
 def test_a_call_is_not_retried_after_a_second_upstream_crashed() -> None:
-    quarantine = Quarantine("life")
+    quarantine = Quarantine("incarnation")
     ingress = make(quarantine=quarantine)
     (first,) = sent(ingress.arrive(1.0, 1, request()))
     call = identity_of("GET", "/depo/x", [], b"", "")
@@ -244,7 +244,7 @@
 
 def test_a_suspect_call_is_not_hedged() -> None:
     for suspected in (False, True):
-        quarantine = Quarantine("life")
+        quarantine = Quarantine("incarnation")
         ingress = make(quarantine=quarantine)
         ingress._services.get("depo").cfg["hedge_ms"] = 20
         ingress.arrive(2.0, 1, request())
