--- a/foldhoist/configlog/fold.py
+++ b/foldhoist/configlog/fold.py
@@ -1,7 +1,7 @@
-"""The configuration as a fold over the platform's log: the same function at every reader.
+"""The configuration as a fold over the platform's log, deterministic at every reader.
 
-A state says which generation is in force after every record below an offset. It is exact if no
-record can have been missed; only an exact state may accept a proposal.
+A state holds the generation in force after all records below an offset. It is exact if no record
+can have been missed; only an exact state accepts proposals.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
     from foldhoist.schema.messages import Outcome, Publish, Snapshot
 
-MOST_OUTCOMES = 64
-"""Outcomes of publish ids that a state remembers."""
+MAX_OUTCOMES = 64
+"""Most outcomes of publish ids that a state keeps; the oldest is dropped."""
 
 
 class State(NamedTuple):
-    """A folded log; `folded` is the offset of the next record to fold."""
+    """The result of folding a log; `folded` is the offset of the next record to fold."""
 
     generation: int = 0
     digest: str = ""
@@ -36,14 +36,14 @@
     body: Publish
 
 
-class KeepRecord(NamedTuple):
-    """A state that a daemon wrote again, at an offset of the log."""
+class SnapshotRecord(NamedTuple):
+    """A state that a daemon rewrote to the log, at an offset of the log."""
 
     offset: int
     body: Snapshot
 
 
-LogRecord: TypeAlias = PublishRecord | KeepRecord
+LogRecord: TypeAlias = PublishRecord | SnapshotRecord
 
 
 def digest_of(content: str) -> str:
@@ -76,49 +76,49 @@
 
 
 def outcome_of(state: State, publish_id: str) -> Outcome | None:
-    """Return what became of a publish id, or None if the state does not know it."""
+    """Return the outcome of a publish id, or None if the state does not hold it."""
     for outcome in state.outcomes:
         if outcome["publish_id"] == publish_id:
             return outcome
     return None
 
 
-def anchor(records: Sequence[LogRecord], oldest: int) -> State:
-    """Return where a reader without state starts: `records` are all that the log keeps.
+def initial_state(records: Sequence[LogRecord], oldest: int) -> State:
+    """Return the state from which a new reader folds; `records` are all that the log retains.
 
-    With every record kept that is the empty state; else it is the first kept state that is exact
-    and after which no record is missing; else nothing exact is known.
+    That is the empty state if the log is complete (`oldest` is 0), else the first exact snapshot
+    after which no record is missing, else an empty state that is not exact.
     """
     if oldest == 0:
         return State()
     for record in records:
         match record:
-            case KeepRecord(_, body) if body["exact"] and body["folded"] >= oldest:
+            case SnapshotRecord(_, body) if body["exact"] and body["folded"] >= oldest:
                 if body["digest"] == digest_of(body["content"]):
                     return from_snapshot(body)
     return State(folded=oldest, exact=False)
 
 
 def fold_all(records: Sequence[LogRecord], oldest: int) -> State:
-    """Return the state that all the records that a log keeps add up to."""
-    state = anchor(records, oldest)
+    """Return the state after all records that a log retains."""
+    state = initial_state(records, oldest)
     for record in records:
         state = fold(state, record)
     return state
 
 
 def skip_to(state: State, oldest: int) -> State:
-    """Return the state before the oldest record kept; it is not exact if records are missing."""
+    """Advance a state to the offset `oldest`; it is not exact if records were skipped."""
     if state.folded >= oldest:
         return state
     return state._replace(folded=oldest, exact=False)
 
 
 def merge(state: State, other: State) -> State:
-    """Return what both states together tell; neither generation is ever lost.
+    """Return the merge of two states; its generation is the greater of the two.
 
-    An exact state that has folded at least as far as an inexact one takes its place. The
-    generation never falls: exact states are all prefixes of one history.
+    An exact state replaces an inexact one of the same or an older generation. Exact states are all
+    prefixes of one history.
     """
     if other.exact and not state.exact and other.generation >= state.generation:
         return other
@@ -132,22 +132,22 @@
 
 
 def fold(state: State, record: LogRecord) -> State:
-    """Return the state after one more record; a record folded before changes nothing."""
+    """Return the state after a record; a record that was folded before is ignored."""
     if record.offset < state.folded:
         return state
     state = skip_to(state, record.offset)
     match record:
         case PublishRecord(offset, body):
             state = _fold_publish(state, body)
-        case KeepRecord(offset, body):
-            state = _fold_keep(state, body, offset)
+        case SnapshotRecord(offset, body):
+            state = _fold_snapshot(state, body, offset)
     return state._replace(folded=offset + 1)
 
 
 def _fold_publish(state: State, body: Publish) -> State:
     if not state.exact or outcome_of(state, body["publish_id"]) is not None:
         return state
-    reason = _fault(state, body)
+    reason = _rejection_reason(state, body)
     if reason:
         return _with_outcome(state, body["publish_id"], 0, reason)
     accepted = state._replace(
@@ -156,7 +156,7 @@
     return _with_outcome(accepted, body["publish_id"], accepted.generation, "")
 
 
-def _fault(state: State, body: Publish) -> str:
+def _rejection_reason(state: State, body: Publish) -> str:
     if body["digest"] != digest_of(body["content"]):
         return "the content does not match its digest"
     if body["base"] != state.generation or body["base_digest"] != state.digest:
@@ -164,17 +164,17 @@
     return ""
 
 
-def _fold_keep(state: State, body: Snapshot, offset: int) -> State:
+def _fold_snapshot(state: State, body: Snapshot, offset: int) -> State:
     if body["digest"] != digest_of(body["content"]):
         return state
-    kept = from_snapshot(body)
-    if not state.exact and kept.exact and kept.folded >= offset:
-        return kept if kept.generation >= state.generation else state
-    if kept.generation > state.generation:
-        return kept._replace(exact=False)
+    stored = from_snapshot(body)
+    if not state.exact and stored.exact and stored.folded >= offset:
+        return stored if stored.generation >= state.generation else state
+    if stored.generation > state.generation:
+        return stored._replace(exact=False)
     return state
 
 
 def _with_outcome(state: State, publish_id: str, generation: int, reason: str) -> State:
     outcome: Outcome = {"publish_id": publish_id, "generation": generation, "reason": reason}
-    return state._replace(outcomes=(*state.outcomes, outcome)[-MOST_OUTCOMES:])
+    return state._replace(outcomes=(*state.outcomes, outcome)[-MAX_OUTCOMES:])
--- a/foldhoist/customers/credit.py
+++ b/foldhoist/customers/credit.py
@@ -1,9 +1,9 @@
-"""An ingress's side of quotas: credit lent by keepers, and the calls that wait for some.
+"""The ingress's side of quotas: credit granted by quota servers, and calls that wait for it.
 
-A call of a limited customer runs on credit that the customer's keeper has lent to this host.
-Without any the keeper is asked, and the call waits for its answer: as long as a message takes there
-and back. A keeper that does not answer is left alone for a while and the next one is asked; if none
-answers, this host goes by its own share of the quota.
+A call of a customer with a quota spends credit that a quota server has granted to this host.
+Without credit, the client asks the customer's quota server, and the call waits for the answer. A
+server that does not answer is suspected for a while and the next one is asked. If none answers,
+this host admits calls at its own share of the quota.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 from collections import deque
 from typing import TYPE_CHECKING, NamedTuple, TypeAlias
 
-from foldhoist.admission.fading import FadingShare
-from foldhoist.customers.keeper import LONGEST_AGAIN_S
-from foldhoist.customers.seats import keepers, seats
+from foldhoist.admission.decaying_ratio import DecayingRatio
+from foldhoist.customers.candidates import quota_server_candidates, ranked_servers
+from foldhoist.customers.quota_server import MAX_RETRY_AFTER_S
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -24,84 +24,84 @@
 
 OVER_QUOTA = "over-quota"
 """Reason of a refusal: the customer's quota is used up."""
-NO_KEEPER = "quota-unknown"
-"""Reason of a refusal: no keeper of the quota answers, and this host's own share is used up."""
-ASK_S = 0.25
-"""Longest wait for a keeper's answer, seconds: a link full of large answers delays it so much."""
-MOST_ASKED = 2
-"""Keepers that are asked for one call, one after the other."""
-HELD_S = 0.5
-"""Credit that is not used for this long is given up, seconds: others may want it."""
-AHEAD_S = 0.25
-"""Credit is asked for what comes within this time, too, seconds."""
-USE_S = 1.0
-"""Calls count by 1/e after this long in what is expected to come, seconds."""
-QUIET_S = 0.25
-"""After a denial no more credit is asked for until then at most, seconds.
-
-The keeper of a customer that sends many times its usual hears of each host so often at most.
+NO_QUOTA_SERVER = "quota-unknown"
+"""Reason of a refusal: no quota server answers, and this host's own share is used up."""
+ANSWER_TIMEOUT_S = 0.25
+"""Longest wait for a quota server's answer, seconds; large answers on the same link delay it."""
+MAX_SERVERS_ASKED = 2
+"""Quota servers asked one after the other before this host uses its own share."""
+CREDIT_LIFETIME_S = 0.5
+"""Credit expires this long after the request for it, seconds, so that it is not hoarded."""
+PREFETCH_S = 0.25
+"""Credit is also requested for the calls expected within this time, seconds."""
+DEMAND_DECAY_S = 1.0
+"""Time constant of the decaying count of calls that predicts demand, seconds."""
+MAX_DENIAL_PAUSE_S = 0.25
+"""Longest pause in requests for credit after a denial, seconds.
+
+The pause limits the requests that a quota server gets from each host for an overloading customer.
 """
 SUSPECT_S = 1.0
-"""A keeper that has not answered is asked again after this long, seconds."""
-OWN_AGAIN_S = 0.5
-"""When a caller is told to come back while no keeper answers, seconds."""
-FORGET_S = 10.0
-"""A customer without calls here is forgotten after this long or twice as long, seconds."""
-SPREAD = 0.5
-"""Callers are told to come back later than there is credit by up to this share of the time."""
+"""A quota server that has not answered is not asked for this long, seconds."""
+OWN_SHARE_RETRY_AFTER_S = 0.5
+"""Retry-after of a call denied while no quota server answers, seconds."""
+ACCOUNT_EXPIRY_S = 10.0
+"""Interval of the removal of accounts, and how long one must be without calls, seconds."""
+RETRY_JITTER = 0.5
+"""A denied call's retry-after is extended at random by up to this share of it."""
 
 
 class Granted(NamedTuple):
-    """A call that may run; `scarce` says that the customer has used up most of its burst."""
+    """A call that may run; `over_burst` if the customer has used more than half of its burst."""
 
     call_id: int
-    scarce: bool
+    over_burst: bool
 
 
 class Denied(NamedTuple):
-    """A call that may not run; there may be credit after `again_s` seconds."""
+    """A call that may not run; credit may be available after `retry_after_s` seconds."""
 
     call_id: int
     reason: str
-    again_s: float
+    retry_after_s: float
 
 
 class Ask(NamedTuple):
-    """Send this to a keeper."""
+    """A request for credit to send to a quota server."""
 
-    keeper: str
+    server: str
     message: CreditAsk
 
 
 Step: TypeAlias = Granted | Denied | Ask
 
 
-class _Asked(NamedTuple):
-    """A question without an answer: its number, whom, when, seconds."""
+class _PendingAsk(NamedTuple):
+    """An unanswered request: its id, the quota server, and when it was sent (seconds)."""
 
-    number: int
-    keeper: str
+    ask_id: int
+    server: str
     at: float
 
 
 class _Account:
-    """What is known here of one customer's quota; times are seconds, monotonic."""
+    """Credit and pending request of one customer at this host; times are monotonic seconds."""
 
     __slots__ = (
-        "again_at",
-        "asked",
         "credit",
         "credit_until",
         "customer",
-        "keeper",
-        "keeper_since",
-        "own",
-        "own_at",
-        "quiet_until",
-        "scarce",
+        "demand",
+        "last_call_at",
+        "no_asks_until",
+        "over_burst",
+        "own_credit",
+        "own_credit_at",
+        "pending",
+        "retry_at",
+        "server",
+        "server_since",
         "tried",
-        "use",
-        "used_at",
         "waiting",
     )
 
@@ -109,21 +109,21 @@
         self.customer = customer
         self.credit = 0
         self.credit_until = 0.0
-        self.quiet_until = 0.0
-        self.again_at = 0.0
-        self.scarce = False
+        self.no_asks_until = 0.0
+        self.retry_at = 0.0
+        self.over_burst = False
         self.waiting: deque[int] = deque()
-        self.asked: _Asked | None = None
+        self.pending: _PendingAsk | None = None
         self.tried: set[str] = set()
-        self.use = FadingShare(now, USE_S)
-        self.used_at = now
-        self.own = 0.0
-        self.own_at = now
-        self.keeper = ""
-        self.keeper_since = now
+        self.demand = DecayingRatio(now, DEMAND_DECAY_S)
+        self.last_call_at = now
+        self.own_credit = 0.0
+        self.own_credit_at = now
+        self.server = ""
+        self.server_since = now
 
     def spend(self, now: float) -> bool:
-        """Use credit for one call, if there is any."""
+        """Spend the credit of one call; returns False if there is none."""
         if now >= self.credit_until:
             self.credit = 0
         if self.credit < 1:
@@ -132,8 +132,11 @@
         return True
 
 
-class CreditBook:
-    """Credit of all customers with calls at this host; `now` is in seconds, monotonic."""
+class CreditClient:
+    """Obtains and spends credit for all customers with calls at this host.
+
+    `now` is in monotonic seconds.
+    """
 
     def __init__(self, rng: Random) -> None:
         self.asks = 0
@@ -141,126 +144,128 @@
         self.late = 0
         self._rng = rng
         self._accounts: dict[str, _Account] = {}
-        self._asked: dict[int, _Account] = {}
-        self._hosts = 1
-        self._seats: tuple[str, ...] = ()
-        self._known: frozenset[str] = frozenset()
-        self._up: set[str] = set()
+        self._pending: dict[int, _Account] = {}
+        self._host_count = 1
+        self._candidates: tuple[str, ...] = ()
+        self._known_hosts: frozenset[str] = frozenset()
+        self._connected: set[str] = set()
         self._suspect_until: dict[str, float] = {}
-        self._next_ask = 1
+        self._next_ask_id = 1
         self._forget_at = 0.0
 
     def adopt(self, now: float, directory: Directory) -> list[Step]:
-        """Take over a configuration; calls that wait for credit they no longer need may run."""
+        """Apply a configuration; grants the waiting calls of customers that have no quota now."""
         steps: list[Step] = []
         for name, account in list(self._accounts.items()):
             customer = directory.named(name)
             if customer is not None and customer.limited:
                 account.customer = customer
-                account.credit = min(account.credit, int(customer.most))
+                account.credit = min(account.credit, int(customer.max_credit))
                 continue
             steps += [Granted(call_id, False) for call_id in account.waiting]
             self._forget(name, account)
         return steps
 
-    def place(self, hosts: Iterable[str]) -> None:
-        """Take over the hosts that are known, this one included."""
+    def set_hosts(self, hosts: Iterable[str]) -> None:
+        """Set the known hosts, this one included."""
         known = frozenset(hosts)
-        if known != self._known:
-            self._known = known
-            self._seats = seats(known)
-            self._hosts = max(1, len(known))
+        if known != self._known_hosts:
+            self._known_hosts = known
+            self._candidates = quota_server_candidates(known)
+            self._host_count = max(1, len(known))
 
-    def take(self, now: float, customer: Customer, call_id: int) -> list[Step]:
-        """Decide on a call of a limited customer, at once or when its keeper has answered."""
+    def admit(self, now: float, customer: Customer, call_id: int) -> list[Step]:
+        """Decide on a call of a customer with a quota, or queue it until a server answers."""
         account = self._accounts.get(customer.name)
         if account is None:
             account = self._accounts[customer.name] = _Account(customer, now)
-        account.use.count(now, 0.0)
-        account.used_at = now
+        account.demand.count(now, 0.0)
+        account.last_call_at = now
         if account.spend(now):
-            return [Granted(call_id, account.scarce)]
-        if account.asked is None and now < account.quiet_until:
+            return [Granted(call_id, account.over_burst)]
+        if account.pending is None and now < account.no_asks_until:
             return [self._denied(now, account, call_id)]
         account.waiting.append(call_id)
-        return self._ask(now, account) if account.asked is None else []
+        return self._ask(now, account) if account.pending is None else []
 
-    def answered(self, now: float, message: Credit) -> list[Step]:
-        """Take in a keeper's answer; one that comes too late counts for nothing."""
-        account = self._asked.pop(message["ask"], None)
-        if account is None or account.asked is None:
+    def on_credit(self, now: float, message: Credit) -> list[Step]:
+        """Handle a quota server's answer; an answer to no pending request is ignored."""
+        account = self._pending.pop(message["ask"], None)
+        if account is None or account.pending is None:
             self.late += 1
             return []
-        asked, account.asked = account.asked, None
-        # Until now this keeper has had this host's share.
-        account.own, account.own_at = 0.0, now
+        pending, account.pending = account.pending, None
+        # This host's share has been lent to the server until now.
+        account.own_credit, account.own_credit_at = 0.0, now
         if not message["known"]:
-            account.tried.add(asked.keeper)
+            account.tried.add(pending.server)
             return self._ask(now, account)
-        if now - asked.at > HELD_S:
-            # This host has stood still: the credit is of then.
+        if now - pending.at > CREDIT_LIFETIME_S:
+            # This process stalled: the credit has expired.
             return self._ask(now, account)
         account.tried.clear()
-        account.scarce = message["scarce"]
+        account.over_burst = message["scarce"]
         if now >= account.credit_until:
             account.credit = 0
         account.credit += message["granted"]
-        account.credit_until = asked.at + HELD_S
-        again_s = message["again_ms"] / 1000
-        if again_s:
-            account.quiet_until = now + min(again_s, QUIET_S)
-            account.again_at = now + again_s
-        return self._serve(now, account, denied=again_s > 0)
-
-    def up(self, now: float, host: str, *, up: bool) -> list[Step]:
-        """Take in that a host is connected, or not any more."""
+        account.credit_until = pending.at + CREDIT_LIFETIME_S
+        retry_after_s = message["again_ms"] / 1000
+        if retry_after_s:
+            account.no_asks_until = now + min(retry_after_s, MAX_DENIAL_PAUSE_S)
+            account.retry_at = now + retry_after_s
+        return self._decide_waiting(now, account, denied=retry_after_s > 0)
+
+    def link_changed(self, now: float, host: str, *, up: bool) -> list[Step]:
+        """Handle that a connection to a host was opened or lost."""
         if up:
-            self._up.add(host)
+            self._connected.add(host)
             return []
-        self._up.discard(host)
+        self._connected.discard(host)
         self._suspect_until.pop(host, None)
         steps: list[Step] = []
-        for account in list(self._asked.values()):
-            if account.asked is not None and account.asked.keeper == host:
-                steps += self._ask_another(now, account, account.asked)
+        for account in list(self._pending.values()):
+            if account.pending is not None and account.pending.server == host:
+                steps += self._ask_next(now, account, account.pending)
         return steps
 
     def tick(self, now: float) -> list[Step]:
-        """Ask others in place of keepers that have not answered, forget who has no calls."""
+        """Time out pending requests, ask the next servers, and drop accounts without calls."""
         steps: list[Step] = []
-        for account in list(self._asked.values()):
-            asked = account.asked
-            if asked is None or now < asked.at + ASK_S:
+        for account in list(self._pending.values()):
+            pending = account.pending
+            if pending is None or now < pending.at + ANSWER_TIMEOUT_S:
                 continue
             self.unanswered += 1
-            if asked.keeper in self._up and now >= self._suspect_until.get(asked.keeper, 0.0):
-                self._suspect_until[asked.keeper] = now + SUSPECT_S
-                steps.append(_elsewhere(account, asked))
-            steps += self._ask_another(now, account, asked)
+            if pending.server in self._connected and now >= self._suspect_until.get(
+                pending.server, 0.0
+            ):
+                self._suspect_until[pending.server] = now + SUSPECT_S
+                steps.append(_ask_elsewhere(account, pending))
+            steps += self._ask_next(now, account, pending)
         if now >= self._forget_at:
-            self._forget_at = now + FORGET_S
+            self._forget_at = now + ACCOUNT_EXPIRY_S
             self._forget_unused(now)
         return steps
 
     def next_at(self) -> float | None:
-        """Return when `tick` has a question to end, None for never."""
-        oldest = next(iter(self._asked.values()), None)
-        if oldest is None or oldest.asked is None:
+        """Return when the oldest pending request times out, None if there is none."""
+        oldest = next(iter(self._pending.values()), None)
+        if oldest is None or oldest.pending is None:
             return None
-        return oldest.asked.at + ASK_S
+        return oldest.pending.at + ANSWER_TIMEOUT_S
 
-    def give_back(self, now: float, customer: Customer) -> None:
-        """Take back the credit of a call that did not run; the next one may use it."""
+    def return_credit(self, now: float, customer: Customer) -> None:
+        """Return the credit of a call that did not run, for use by the next call."""
         account = self._accounts.get(customer.name)
         if account is None:
             return
         if now >= account.credit_until:
             account.credit = 0
-        account.credit = min(account.credit + 1, int(customer.most))
-        account.credit_until = max(account.credit_until, now + HELD_S)
+        account.credit = min(account.credit + 1, int(customer.max_credit))
+        account.credit_until = max(account.credit_until, now + CREDIT_LIFETIME_S)
 
     def withdraw(self, customer: Customer, call_id: int) -> bool:
-        """Take in that a call has ended; returns whether it was still waiting for credit."""
+        """Remove an ended call; returns whether it was still waiting for credit."""
         account = self._accounts.get(customer.name)
         if account is None or call_id not in account.waiting:
             return False
@@ -270,93 +275,95 @@
     # Steps
 
     def _ask(self, now: float, account: _Account) -> list[Step]:
-        """Ask the keeper for the calls that wait, or go by the own share if none is left to ask."""
+        """Request credit for the waiting calls, or use the own share if no server is left."""
         if not account.waiting:
             return []
-        keeper = self._keeper(now, account)
-        if keeper is None:
+        server = self._next_server(now, account)
+        if server is None:
             account.tried.clear()
-            return self._serve_own(now, account)
-        number = self._next_ask
-        self._next_ask += 1
+            return self._decide_by_own_share(now, account)
+        ask_id = self._next_ask_id
+        self._next_ask_id += 1
         self.asks += 1
-        account.asked = _Asked(number, keeper, now)
-        self._asked[number] = account
-        # Where credit is short, what one host holds unused is what another one lacks.
-        ahead = 0 if account.scarce else int(account.use.counted(now) * AHEAD_S)
-        want = min(len(account.waiting) + ahead, int(account.customer.most) + 1)
-        if keeper != account.keeper:
-            account.keeper, account.keeper_since = keeper, now
-        lends_ms = int((now - account.keeper_since) * 1000)
-        return [Ask(keeper, _question(account, number, want, lends_ms))]
-
-    def _ask_another(self, now: float, account: _Account, asked: _Asked) -> list[Step]:
-        self._asked.pop(asked.number, None)
-        account.asked = None
-        account.tried.add(asked.keeper)
+        account.pending = _PendingAsk(ask_id, server, now)
+        self._pending[ask_id] = account
+        # When credit is short, credit held unused by one host is missing at the others.
+        prefetch = 0 if account.over_burst else int(account.demand.total(now) * PREFETCH_S)
+        want = min(len(account.waiting) + prefetch, int(account.customer.max_credit) + 1)
+        if server != account.server:
+            account.server, account.server_since = server, now
+        lends_ms = int((now - account.server_since) * 1000)
+        return [Ask(server, _credit_ask(account, ask_id, want, lends_ms))]
+
+    def _ask_next(self, now: float, account: _Account, pending: _PendingAsk) -> list[Step]:
+        self._pending.pop(pending.ask_id, None)
+        account.pending = None
+        account.tried.add(pending.server)
         return self._ask(now, account)
 
-    def _keeper(self, now: float, account: _Account) -> str | None:
-        if len(account.tried) >= MOST_ASKED:
+    def _next_server(self, now: float, account: _Account) -> str | None:
+        if len(account.tried) >= MAX_SERVERS_ASKED:
             return None
-        for host in keepers(account.customer.name, self._seats):
-            if host not in self._up or host in account.tried:
+        for host in ranked_servers(account.customer.name, self._candidates):
+            if host not in self._connected or host in account.tried:
                 continue
             if now >= self._suspect_until.get(host, 0.0):
                 return host
         return None
 
-    def _serve(self, now: float, account: _Account, *, denied: bool) -> list[Step]:
+    def _decide_waiting(self, now: float, account: _Account, *, denied: bool) -> list[Step]:
         steps: list[Step] = []
         while account.waiting and account.spend(now):
-            steps.append(Granted(account.waiting.popleft(), account.scarce))
+            steps.append(Granted(account.waiting.popleft(), account.over_burst))
         if not denied:
             return steps + self._ask(now, account)
         while account.waiting:
             steps.append(self._denied(now, account, account.waiting.popleft()))
         return steps
 
-    def _serve_own(self, now: float, account: _Account) -> list[Step]:
-        """Let calls run by this host's own share, which no keeper has of it now."""
+    def _decide_by_own_share(self, now: float, account: _Account) -> list[Step]:
+        """Decide on the waiting calls by this host's share of the quota, now lent to no server."""
         customer = account.customer
-        gained = customer.rate_per_s / self._hosts * (now - account.own_at)
-        account.own = min(max(1.0, customer.burst / self._hosts), account.own + gained)
-        account.own_at = now
-        # No keeper has had it until now: whichever is asked next is lent what comes.
-        account.keeper = ""
+        gained = customer.rate_per_s / self._host_count * (now - account.own_credit_at)
+        account.own_credit = min(
+            max(1.0, customer.burst / self._host_count), account.own_credit + gained
+        )
+        account.own_credit_at = now
+        # The next server asked is lent the share only from that request on.
+        account.server = ""
         steps: list[Step] = []
         while account.waiting:
             call_id = account.waiting.popleft()
-            if account.own < 1.0:
-                steps.append(Denied(call_id, NO_KEEPER, OWN_AGAIN_S))
+            if account.own_credit < 1.0:
+                steps.append(Denied(call_id, NO_QUOTA_SERVER, OWN_SHARE_RETRY_AFTER_S))
                 continue
-            account.own -= 1.0
-            steps.append(Granted(call_id, account.scarce))
+            account.own_credit -= 1.0
+            steps.append(Granted(call_id, account.over_burst))
         return steps
 
     def _denied(self, now: float, account: _Account, call_id: int) -> Denied:
-        left_s = max(0.0, account.again_at - now) * (1.0 + SPREAD * self._rng.random())
-        return Denied(call_id, OVER_QUOTA, min(LONGEST_AGAIN_S, left_s))
+        left_s = max(0.0, account.retry_at - now) * (1.0 + RETRY_JITTER * self._rng.random())
+        return Denied(call_id, OVER_QUOTA, min(MAX_RETRY_AFTER_S, left_s))
 
     def _forget_unused(self, now: float) -> None:
         for name, account in list(self._accounts.items()):
-            if not account.waiting and now - account.used_at > FORGET_S:
+            if not account.waiting and now - account.last_call_at > ACCOUNT_EXPIRY_S:
                 self._forget(name, account)
 
     def _forget(self, name: str, account: _Account) -> None:
         del self._accounts[name]
-        if account.asked is not None:
-            self._asked.pop(account.asked.number, None)
+        if account.pending is not None:
+            self._pending.pop(account.pending.ask_id, None)
 
 
-def _elsewhere(account: _Account, asked: _Asked) -> Ask:
-    return Ask(asked.keeper, {**_question(account, asked.number, 0, 0), "elsewhere": True})
+def _ask_elsewhere(account: _Account, pending: _PendingAsk) -> Ask:
+    return Ask(pending.server, {**_credit_ask(account, pending.ask_id, 0, 0), "elsewhere": True})
 
 
-def _question(account: _Account, number: int, want: int, lends_ms: int) -> CreditAsk:
+def _credit_ask(account: _Account, ask_id: int, want: int, lends_ms: int) -> CreditAsk:
     name = account.customer.name
     return {
-        "ask": number,
+        "ask": ask_id,
         "customer": name,
         "want": want,
         "lends_ms": lends_ms,
--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -11,9 +11,9 @@
 
 from loguru import logger
 
+from foldhoist.admission.body_memory import BodyMemory
 from foldhoist.admission.cold import ColdRate
-from foldhoist.admission.held import HeldBytes
-from foldhoist.admission.slots import Shape
+from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import evacuated
 from foldhoist.config.reread import LIMITS, reread
 from foldhoist.daemon.callers import CallerConnection, Shared
@@ -27,7 +27,7 @@
 from foldhoist.daemon.owner_task import OwnerTask
 from foldhoist.daemon.prober import Prober
 from foldhoist.daemon.quota_task import QuotaTask
-from foldhoist.delivery.codec import HEADROOM, SCHEMA_VERSION
+from foldhoist.delivery.codec import FRAME_OVERHEAD_BYTES, SCHEMA_VERSION
 from foldhoist.delivery.ingress import Ingress
 from foldhoist.delivery.keys import KEY_WINDOW_S
 from foldhoist.delivery.owner import Owner
@@ -52,8 +52,8 @@
 
 EAGER_LINKS = 64
 """With no more tracked upstreams than this, connections are opened before the first call."""
-SHAPE_UNKNOWN = Shape(slots=1, queue=0, urgent_slots=0, urgent_run=1)
-"""Shape of the owner before the first configuration names it."""
+INITIAL_QUEUE_LIMITS = QueueLimits(slots=1, queue=0, urgent_slots=0, urgent_run=1)
+"""Queue limits of the owner before the first configuration names it."""
 DRAIN_LOOK_S = 0.02
 """Time between two looks at what is still in flight at a planned stop, seconds."""
 QUIET_S = 1.0
@@ -90,15 +90,15 @@
     async def start(self) -> None:
         """Open every socket and start every task."""
         cfg = self.cfg
-        limit = cfg["limits"]["body_bytes"] + HEADROOM
+        limit = cfg["limits"]["body_bytes"] + FRAME_OVERHEAD_BYTES
         platform = cfg["platform"]
         self.client = PlatformClient(platform["log"], platform["stream"], platform["hosts"])
-        self._bodies = HeldBytes(cfg["limits"]["held_bytes"])
+        self._bodies = BodyMemory(cfg["limits"]["held_bytes"])
         quarantine = Quarantine(self.incarnation)
         self.owner = Owner(
             self.name,
             "",
-            SHAPE_UNKNOWN,
+            INITIAL_QUEUE_LIMITS,
             KEY_WINDOW_S,
             bodies=self._bodies,
             quarantine=quarantine,
@@ -153,7 +153,7 @@
             return
         self.draining = True
         logger.info("draining")
-        self.owner_task.leave("drain")
+        self.owner_task.set_leaving("drain")
         self.shared.closing = True
         loop = asyncio.get_running_loop()
         limit = loop.time() + self.cfg["limits"]["drain_ms"] / 1000
@@ -175,8 +175,8 @@
         self.cfg = found.cfg
         limits = found.cfg["limits"]
         self.shared.adopt(limits)
-        self.ingress_task.ingress.door.most_calls = limits["calls"]
-        self._bodies.most = limits["held_bytes"]
+        self.ingress_task.ingress.admission.max_calls = limits["calls"]
+        self._bodies.limit = limits["held_bytes"]
 
     async def stop(self) -> None:
         """Close every socket and end every task."""
@@ -254,17 +254,19 @@
             return
         self.owner.service = target["service"]
         self.owner.keys.window_s = service["key_window_s"]
-        self.owner_task.reshape(
-            Shape(target["slots"], service["queue"], service["urgent_slots"], service["urgent_run"])
+        self.owner_task.set_queue_limits(
+            QueueLimits(
+                target["slots"], service["queue"], service["urgent_slots"], service["urgent_run"]
+            )
         )
         self.owner_task.pool.most = target["connections"]
         rate = ColdRate(service["cold_per_s"], service["cold_ms"] / 1000)
-        self.owner_task.bound_cold(rate)
+        self.owner_task.set_cold_rate(rate)
         self.owner_task.set_evacuated(target["data_centre"] in evacuated(fleet))
         if target["state"] == "serving":
-            self.owner_task.stay("configuration")
+            self.owner_task.clear_leaving("configuration")
         else:
-            self.owner_task.leave("configuration")
+            self.owner_task.set_leaving("configuration")
         self.handover.adopt(state.generation, fleet)
 
     def _on_peer(self, link: int, kind: str, body: Any) -> None:
@@ -286,9 +288,9 @@
 
     def _on_host(self, state: str) -> None:
         if state == "leaving":
-            self.owner_task.leave("host-list")
+            self.owner_task.set_leaving("host-list")
         elif state == "live":
-            self.owner_task.stay("host-list")
+            self.owner_task.clear_leaving("host-list")
 
     def _local_frame(self, kind: str, body: Any) -> None:
         self.ingress_task.message(self.name, kind, body)
--- a/foldhoist/daemon/ingress_task.py
+++ b/foldhoist/daemon/ingress_task.py
@@ -57,14 +57,14 @@
         self._callers[call_id] = conn
         conn.begin(call_id)
         tickets = self._owner_task.owner.tickets
-        req = req._replace(parent_rank=tickets.usual_rank, parent_repeat=tickets.repeat_share)
+        req = req._replace(parent_rank=tickets.most_common_rank, parent_repeat=tickets.repeat_share)
         self._carry_out(self.ingress.arrive(self._loop.time(), call_id, req))
 
     def gone(self, call_id: int) -> None:
         """Take in that a caller left before its answer."""
         if self._callers.pop(call_id, None) is None:
             return
-        self._carry_out(self.ingress.caller_gone(self._loop.time(), call_id))
+        self._carry_out(self.ingress.caller_disconnected(self._loop.time(), call_id))
 
     def message(self, target: str, kind: str, body: Any) -> None:
         """Take in a frame of an owner."""
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -10,13 +10,13 @@
 
 from loguru import logger
 
+from foldhoist.admission.body_memory import BodyMemory
 from foldhoist.admission.cold import ColdRate, Tolerance
 from foldhoist.admission.due import DueQueue
-from foldhoist.admission.held import HeldBytes
-from foldhoist.admission.slots import Shape
+from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import evacuated, limits_of
 from foldhoist.config.reread import LIMITS, reread
-from foldhoist.configlog.versions import Readers
+from foldhoist.configlog.versions import ReaderElection
 from foldhoist.daemon.callers import CallerConnection, Shared
 from foldhoist.daemon.figures import traffic_counters, traffic_gauges
 from foldhoist.daemon.ingress_task import IngressTask
@@ -29,7 +29,7 @@
 from foldhoist.daemon.stopping import Stopping
 from foldhoist.daemon.upstream_task import UpstreamTask
 from foldhoist.daemon.versions_task import VersionsTask
-from foldhoist.delivery.codec import HEADROOM, SCHEMA_VERSION
+from foldhoist.delivery.codec import FRAME_OVERHEAD_BYTES, SCHEMA_VERSION
 from foldhoist.delivery.ingress import Ingress
 from foldhoist.delivery.keys import KEY_WINDOW_S
 from foldhoist.delivery.owner import Owner
@@ -52,8 +52,8 @@
     from foldhoist.schema.messages import Hello, Member
     from foldhoist.schema.settings import Settings
 
-SHAPE_UNKNOWN = Shape(slots=1, queue=0, urgent_slots=0, urgent_run=8)
-"""Shape of the owner before its upstream has announced itself."""
+INITIAL_QUEUE_LIMITS = QueueLimits(slots=1, queue=0, urgent_slots=0, urgent_run=8)
+"""Queue limits of the owner before its upstream has announced itself."""
 RELOADABLE = LIMITS | {
     "[upstream] service",
     "[platform] retry_slack",
@@ -113,7 +113,7 @@
             self.quarantine,
             self.rng,
         )
-        self.readers = Readers(self.name, cfg["platform"]["wait_ms"] / 1000 + 1.5)
+        self.readers = ReaderElection(self.name, cfg["platform"]["wait_ms"] / 1000 + 1.5)
         self.versions = VersionsTask(
             self.adapter,
             self.store,
@@ -149,8 +149,8 @@
         limits, platform = found.cfg["limits"], found.cfg["platform"]
         self.adapter.reload(found.cfg)
         self.events.share = found.cfg["observe"]["log_share"]
-        self.ingress_task.ingress.door.most_calls = limits["calls"]
-        self._bodies.most = limits["held_bytes"]
+        self.ingress_task.ingress.admission.max_calls = limits["calls"]
+        self._bodies.limit = limits["held_bytes"]
         self._slack.attempts = platform["retry_slack"]
         self._slack.window_s = platform["retry_window_s"]
         self.quotas.keeper.slack = platform["quota_slack"]
@@ -204,13 +204,13 @@
         cfg = self.cfg
         self.messages = PeerMessages(self)
         service = cfg["upstream"]["service"]
-        queue = DueQueue(SHAPE_UNKNOWN)
-        self._bodies = HeldBytes(cfg["limits"]["held_bytes"])
+        queue = DueQueue(INITIAL_QUEUE_LIMITS)
+        self._bodies = BodyMemory(cfg["limits"]["held_bytes"])
         self.quarantine = Quarantine(self.incarnation)
         self.owner = Owner(
             self.name,
             service,
-            SHAPE_UNKNOWN,
+            INITIAL_QUEUE_LIMITS,
             KEY_WINDOW_S,
             queue,
             self._bodies,
@@ -240,7 +240,9 @@
             self.ingress_task.link_refused,
             self.messages.outbound,
         )
-        self.links = Links(self._hello, cfg["limits"]["body_bytes"] + HEADROOM, events, self.rng)
+        self.links = Links(
+            self._hello, cfg["limits"]["body_bytes"] + FRAME_OVERHEAD_BYTES, events, self.rng
+        )
         self.ingress_task.on_ended = self._ended
         self.owner_task.on_refused = self._refused
         self.owner_task.on_spread = self.messages.spread
@@ -316,7 +318,7 @@
             rate = ColdRate(own["cold_per_s"], own["cold_ms"] / 1000)
             upstream = self.cfg["upstream"]
             tolerance = Tolerance(upstream["cold_overage"], upstream["cold_slack"])
-            self.owner_task.bound_cold(rate.with_tolerance(tolerance))
+            self.owner_task.set_cold_rate(rate.with_tolerance(tolerance))
 
     def _set_evacuated(self, names: frozenset[str]) -> None:
         centres = {peer.data_centre for peer in self.registry.peers.values()} | {self.data_centre}
@@ -331,22 +333,22 @@
         if self.versions.fleet is not None:
             self._bound_cold(self.versions.fleet)
         if replaced:
-            self.ingress_task.ingress.replaced(now, self.name)
+            self.ingress_task.ingress.upstream_replaced(now, self.name)
         self._track()
         self._tell_all()
 
     def _on_peers(self, changed: list[str]) -> None:
         now = asyncio.get_running_loop().time()
         for name in changed:
-            self.ingress_task.ingress.replaced(now, name)
+            self.ingress_task.ingress.upstream_replaced(now, name)
 
     def _on_seats(self, hosts: frozenset[str]) -> None:
         """Keep connections to the hosts that keep quotas."""
-        self.registry.keepers = hosts
+        self.registry.quota_servers = hosts
         self.peers.rewire_soon()
 
     def _on_rewired(self) -> None:
-        self.readers.place([self.name, *self.registry.neighbours.centre()])
+        self.readers.set_peers([self.name, *self.registry.neighbours.local_daemons()])
         self._track()
 
     def _track(self) -> None:
--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -12,27 +12,27 @@
 from foldhoist.daemon.lost_calls import LostCalls
 from foldhoist.daemon.sampler import Sampler
 from foldhoist.daemon.upstream import CONNECTION_LOST, UpstreamPool
-from foldhoist.delivery.codec import HEADROOM, SCHEMA_VERSION
+from foldhoist.delivery.call_finisher import LOCAL_LINK
+from foldhoist.delivery.codec import FRAME_OVERHEAD_BYTES, SCHEMA_VERSION
 from foldhoist.delivery.dispatch import (
-    Broken,
     CancelCall,
     CloseLink,
-    Hold,
+    Complete,
+    Incomplete,
+    QuarantineCalls,
     SendTo,
-    Spread,
+    ShareSuspects,
     StartCall,
-    Whole,
 )
-from foldhoist.delivery.endings import LOCAL_LINK
-from foldhoist.delivery.standing import EVACUATED
-from foldhoist.membership.lives import life_of
+from foldhoist.delivery.upstream_status import EVACUATED
+from foldhoist.membership.incarnations import incarnation_of
 from foldhoist.routing.sampling import SamplePlan
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from foldhoist.admission.cold import ColdRate
-    from foldhoist.admission.slots import Shape
+    from foldhoist.admission.slots import QueueLimits
     from foldhoist.daemon.dialect import Dialect
     from foldhoist.daemon.lost_calls import LostCall
     from foldhoist.delivery.dispatch import Action, Ended, Refused, Result, Sample
@@ -79,7 +79,7 @@
         self._on_local = on_local
         self._on_hop = on_hop
         self._loop = asyncio.get_running_loop()
-        self._limit = cfg["limits"]["body_bytes"] + HEADROOM
+        self._limit = cfg["limits"]["body_bytes"] + FRAME_OVERHEAD_BYTES
         self._conns: dict[int, FrameConnection] = {}
         self._next_link = LOCAL_LINK + 1
         self._greeted: set[int] = set()
@@ -141,8 +141,8 @@
 
     def announce(self, upstream: Announced) -> None:
         """Take in what the upstream says of itself."""
-        before = self.owner.standing.upstream
-        if before is not None and not life_of(before).is_same(life_of(upstream)):
+        before = self.owner.status.upstream
+        if before is not None and not incarnation_of(before).is_same(incarnation_of(upstream)):
             self.pool.forget()
         self.sampler.instance = upstream["instance"]
         self._carry_out(self.owner.announce(self._loop.time(), upstream))
@@ -151,13 +151,13 @@
         """Take in what another daemon knows of calls that end upstreams."""
         self._carry_out(self.owner.learn_crashes(self._loop.time(), suspects))
 
-    def heard_again(self, cold_s: float) -> None:
+    def announced_again(self, cold_s: float) -> None:
         """Take in that the upstream is at its address; it says that it is cold for `cold_s` yet."""
-        self._carry_out(self.owner.heard_again(self._loop.time(), cold_s))
+        self._carry_out(self.owner.announced_again(self._loop.time(), cold_s))
 
-    def bound_cold(self, rate: ColdRate) -> None:
+    def set_cold_rate(self, rate: ColdRate) -> None:
         """Take over what the upstream bears while it is cold."""
-        self._carry_out(self.owner.bound_cold(self._loop.time(), rate, self.began))
+        self._carry_out(self.owner.set_cold_rate(self._loop.time(), rate, self.began))
 
     def set_evacuated(self, evacuated: bool) -> None:
         """Take no new work while this data centre is evacuated.
@@ -165,19 +165,19 @@
         Afterwards the upstream gets what it bears if it has turned cold, until it says that it has
         not.
         """
-        if evacuated == (EVACUATED in self.owner.standing.leaving_why):
+        if evacuated == (EVACUATED in self.owner.status.leaving_sources):
             return
         before = self.owner.load()["state"]
         if evacuated:
-            self._carry_out(self.owner.leave(EVACUATED))
+            self._carry_out(self.owner.set_leaving(EVACUATED))
         else:
             self._carry_out(self.owner.end_evacuation(self._loop.time()))
             self.sampler.ask()
         self._log_change(before)
 
-    def reshape(self, shape: Shape) -> None:
+    def set_queue_limits(self, limits: QueueLimits) -> None:
         """Take over the sizes of the queue."""
-        self._carry_out(self.owner.reshape(self._loop.time(), shape))
+        self._carry_out(self.owner.set_queue_limits(self._loop.time(), limits))
 
     @property
     def parting(self) -> bool:
@@ -221,22 +221,22 @@
         self._carry_out(self.owner.set_state(state))
         self._log_change(before)
 
-    def leave(self, source: str) -> None:
+    def set_leaving(self, source: str) -> None:
         """Stop taking new work."""
         before = self.owner.load()["state"]
-        self._carry_out(self.owner.leave(source))
+        self._carry_out(self.owner.set_leaving(source))
         self._log_change(before)
 
-    def stay(self, source: str) -> None:
+    def clear_leaving(self, source: str) -> None:
         """Take back what a source said."""
         before = self.owner.load()["state"]
-        self._carry_out(self.owner.stay(source))
+        self._carry_out(self.owner.clear_leaving(source))
         self._log_change(before)
 
     def _log_change(self, before: str) -> None:
         after = self.owner.load()["state"]
         if after != before:
-            why = ", ".join(self.owner.standing.leaving_why) or "upstream"
+            why = ", ".join(self.owner.status.leaving_sources) or "upstream"
             logger.info("upstream {} (by {}), was {}", after, why, before)
 
     def _message(self, conn: FrameConnection, kind: str, body: Any) -> None:
@@ -280,7 +280,7 @@
 
     def _result(self, ticket: int, result: Result) -> None:
         match result:
-            case Broken(True, reason) if reason == CONNECTION_LOST:
+            case Incomplete(True, reason) if reason == CONNECTION_LOST:
                 self._lost_calls.add(ticket, result)
             case _:
                 self._take_result(ticket, result)
@@ -289,19 +289,19 @@
         """Take in what became of calls whose connection ended, and perhaps the upstream."""
         if ended:
             tickets = [call.ticket for call in lost]
-            known = ", ".join(self.owner.tickets.told(tickets))
+            known = ", ".join(self.owner.tickets.log_labels(tickets))
             logger.warning("upstream ended with {} calls at work: {}", len(lost), known)
-            self._carry_out(self.owner.upstream_ended(self._loop.time(), tickets))
+            self._carry_out(self.owner.upstream_crashed(self._loop.time(), tickets))
             self._look_for_upstream()
         for call in lost:
             self._take_result(call.ticket, call.result)
 
     def _take_result(self, ticket: int, result: Result) -> None:
         now = self._loop.time()
-        hop = self.owner.ended(now, ticket, result)
-        if isinstance(result, Whole):
+        hop = self.owner.call_record(now, ticket, result)
+        if isinstance(result, Complete):
             self.sampler.heard(result.pace)
-        self.owner.standing.watched = self.sampler.watching
+        self.owner.status.pace_sampled = self.sampler.watching
         if _is_away(result):
             self._look_for_upstream()
         self._carry_out(self.owner.finished(now, ticket, result))
@@ -309,7 +309,7 @@
             self._on_hop(hop)
 
     def _sampled(self, sample: Sample) -> None:
-        self.owner.standing.watched = self.sampler.watching
+        self.owner.status.pace_sampled = self.sampler.watching
         self._carry_out(self.owner.sampled(self._loop.time(), sample))
 
     def _tell_refusals(self) -> None:
@@ -328,9 +328,9 @@
                     self.pool.start(self._loop.time(), action)
                 case CancelCall(ticket, reason):
                     self.pool.cancel(ticket, reason)
-                case Spread(suspects) if self.on_spread is not None:
+                case ShareSuspects(suspects) if self.on_spread is not None:
                     self.on_spread(suspects)
-                case Hold(calls):
+                case QuarantineCalls(calls):
                     self._tell_held(calls)
                 case CloseLink(link):
                     conn = self._conns.get(link)
@@ -356,12 +356,12 @@
 
         One that does not announce itself is watched by its health path instead.
         """
-        if self._reaching is None and self.owner.standing.upstream is not None:
+        if self._reaching is None and self.owner.status.upstream is not None:
             self.set_state("down")
             self._reaching = self._loop.create_task(self._reach())
 
     async def _reach(self) -> None:
-        while self.owner.standing.upstream is not None:
+        while self.owner.status.upstream is not None:
             await asyncio.sleep(REACH_S)
             if await self.pool.reach():
                 break
@@ -396,4 +396,4 @@
 
 
 def _is_away(result: Result) -> bool:
-    return isinstance(result, Broken) and not result.sent and result.reason == AWAY
+    return isinstance(result, Incomplete) and not result.sent and result.reason == AWAY
--- a/foldhoist/daemon/peers_task.py
+++ b/foldhoist/daemon/peers_task.py
@@ -8,14 +8,14 @@
 
 from loguru import logger
 
-from foldhoist.membership.lives import from_rows
+from foldhoist.membership.incarnations import incarnations_from_rows
 from foldhoist.membership.registry import (
-    Changed,
     Connect,
     Disconnect,
     Registration,
-    held_call,
-    held_suspect,
+    UpstreamChanged,
+    quarantined_call,
+    suspect_of,
 )
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 
     from foldhoist.daemon.links import Links
     from foldhoist.daemon.ports import Store
-    from foldhoist.membership.lives import Life
+    from foldhoist.membership.incarnations import UpstreamIncarnation
     from foldhoist.membership.registry import Action, Registry
     from foldhoist.quarantine.table import Quarantine
     from foldhoist.schema.messages import Member, Roster, Row
@@ -57,7 +57,7 @@
         describe: Callable[[], Member],
         on_change: Callable[[list[str]], None],
         on_rewired: Callable[[], None],
-        on_own: Callable[[tuple[Life, ...], set[str]], None],
+        on_own: Callable[[tuple[UpstreamIncarnation, ...], set[str]], None],
         is_busy: Callable[[str], bool],
         send_back: Callable[[str, str, Any], None],
         quarantine: Quarantine,
@@ -105,12 +105,12 @@
 
     def told(self, member: Member) -> None:
         """Take in what a peer tells of itself."""
-        self.carry_out(self.registry.told(self._loop.time(), member))
+        self.carry_out(self.registry.update_member(self._loop.time(), member))
         self._links.hurry(member["name"])
 
     def roster(self, message: Roster) -> None:
         """Take in what a peer knows of daemons; pass it on in this data centre if it says so."""
-        self.carry_out(self.registry.passed_on(self._loop.time(), message["rows"]))
+        self.carry_out(self.registry.add_relayed(self._loop.time(), message["rows"]))
         if not message["spread"]:
             return
         self._news.update((row["name"], row) for row in message["rows"])
@@ -123,7 +123,7 @@
 
     def linked(self, name: str) -> None:
         """Take in that a peer was reached: tell it who this is, and ask it for all it knows."""
-        self.registry.linked(self._loop.time(), name, True)
+        self.registry.set_connected(self._loop.time(), name, True)
         self._tell_member(name)
         if name in self.registry.neighbours.relays():
             self._links.send(name, "Roster", self._own_news())
@@ -134,7 +134,7 @@
     def lost(self, name: str) -> None:
         """Take in that the connection to a peer fell, perhaps with what it was told last."""
         self._told.pop(name, None)
-        self.registry.linked(self._loop.time(), name, False)
+        self.registry.set_connected(self._loop.time(), name, False)
 
     def carry_out(self, actions: list[Action]) -> None:
         """Open and close connections, and tell who changed."""
@@ -149,7 +149,7 @@
                 case Disconnect(name):
                     logger.info("peer {} forgotten", name)
                     self._links.forget(name)
-                case Changed(name):
+                case UpstreamChanged(name):
                     changed.append(name)
         if changed:
             self._on_change(changed)
@@ -278,7 +278,7 @@
         self._record = own[0] if own else None
         self._may_write = True
         self._take_held(answer.ok)
-        self.carry_out(self.registry.stored(self._loop.time(), answer.ok))
+        self.carry_out(self.registry.add_records(self._loop.time(), answer.ok))
         self._rewire()
         self._on_own(own[0].ended if own else (), set(self._wanted))
         self.listed.set()
@@ -288,11 +288,11 @@
         """Take in which calls end upstreams, as this daemon and others have written it."""
         now, wall_ms = self._loop.time(), int(time.time() * 1000)
         for record in records:
-            suspects = [held_suspect(each, wall_ms) for each in record.held]
+            suspects = [suspect_of(each, wall_ms) for each in record.held]
             if record.name == self.registry.name:
-                self._quarantine.keep(now, suspects)
+                self._quarantine.restore(now, suspects)
             else:
-                self._quarantine.learned(now, suspects)
+                self._quarantine.merge(now, suspects)
 
     def _registration(self) -> Registration:
         member = self._describe()
@@ -303,9 +303,9 @@
             member["incarnation"],
             member["frames"],
             member["data_centre"],
-            tuple(from_rows(member["ended"])),
+            tuple(incarnations_from_rows(member["ended"])),
             member["upstream"]["service"],
-            tuple(held_call(row, wall_ms) for row in held),
+            tuple(quarantined_call(row, wall_ms) for row in held),
         )
 
     def _own_row(self) -> Row:
@@ -336,7 +336,7 @@
         self._wanted = self.registry.wanted(now)
         for name in self._wanted:
             if not self._links.is_up(name):
-                self.registry.linked(now, name, False)
+                self.registry.set_connected(now, name, False)
         self._links.want(self._wanted)
         self._on_rewired()
 
@@ -347,7 +347,7 @@
             self._rewire()
             now = self._loop.time()
             for name in self._links.keep(self._wanted, now, self._is_busy):
-                self.registry.parted(now, name)
+                self.registry.stop_connecting(now, name)
 
     async def _expire(self) -> None:
         while True:
--- a/foldhoist/delivery/endings.py
+++ b/foldhoist/delivery/call_finisher.py
@@ -1,4 +1,4 @@
-"""How calls end at an owner: who waits for the end of one, and what is sent and kept; no I/O."""
+"""Ends calls at an owner: sends results to all ingresses that wait for them; no I/O."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 from foldhoist.delivery import replies
 from foldhoist.delivery.dispatch import Frame, SendTo
-from foldhoist.delivery.joined import Joined
+from foldhoist.delivery.joined import JoinedCalls
 from foldhoist.delivery.peers import fate_without_result
-from foldhoist.delivery.refusal_notes import RefusalNotes
+from foldhoist.delivery.refusal_log import RefusalLog
 from foldhoist.delivery.verdict import Response
 
 if TYPE_CHECKING:
-    from foldhoist.delivery.dispatch import Action, Counters, Peer, Ticket, Whole
+    from foldhoist.delivery.dispatch import Action, Complete, Counters, Peer, Ticket
     from foldhoist.delivery.keys import KeyTable
+    from foldhoist.delivery.load_reports import LoadReports
     from foldhoist.delivery.peers import Peers
-    from foldhoist.delivery.telling import Telling
     from foldhoist.delivery.tickets import Tickets
     from foldhoist.schema.messages import Dispatch
 
@@ -23,27 +23,29 @@
 """Link number of the ingress in the owner's own process."""
 
 
-class Endings:
-    """Ends calls: takes them off the tickets, tells all who wait, keeps what may be asked again."""
+class CallFinisher:
+    """Ends calls: removes their tickets and sends results to all that wait for them."""
 
     def __init__(
-        self, tickets: Tickets, keys: KeyTable, peers: Peers, telling: Telling, count: Counters
+        self, tickets: Tickets, keys: KeyTable, peers: Peers, reports: LoadReports, count: Counters
     ) -> None:
-        self.joined = Joined()
-        self.refusals = RefusalNotes()
+        self.joined = JoinedCalls()
+        self.refusals = RefusalLog()
         self._tickets = tickets
         self._keys = keys
         self._peers = peers
-        self._telling = telling
+        self._reports = reports
         self._count = count
 
-    def answered(self, now: float, ticket_id: int, whole: Whole, served_s: float) -> list[Action]:
-        """End a call that the upstream has answered; `served_s` is its time there, seconds."""
+    def answered(
+        self, now: float, ticket_id: int, answer: Complete, served_s: float
+    ) -> list[Action]:
+        """End a call with the upstream's answer; `served_s` is its time there, seconds."""
         ticket = self._tickets.pop(ticket_id)
         self._count.answered += 1
-        response = Response(whole.status, whole.headers, whole.body)
+        response = Response(answer.status, answer.headers, answer.body)
         times_us = (int((ticket.started - ticket.arrived) * 1e6), int(served_s * 1e6))
-        load = self._telling.load()
+        load = self._reports.load()
         actions: list[Action] = []
         for peer, seq in self._waiters(ticket):
             peer.used_at = now
@@ -60,9 +62,9 @@
         """End a call without an answer; `ran` is "no" or "maybe"."""
         ticket = self._tickets.pop(ticket_id)
         self._count.refused += 1
-        load = self._telling.load()
+        load = self._reports.load()
         if ran == "no":
-            self.refusals.note(ticket.request, reason, retry_after_s, load)
+            self.refusals.add(ticket.request, reason, retry_after_s, load)
         actions: list[Action] = []
         for peer, seq in self._waiters(ticket):
             frame = replies.refusal_frame(seq, ran, reason, retry_after_s, load, reached)
@@ -71,19 +73,19 @@
             self._keys.ended(ticket.key, None, ran=ran != "no")
         return actions
 
-    def refused_at_door(
+    def refused_on_arrival(
         self, peer: Peer, req: Dispatch, reason: str, retry_after_s: float
     ) -> Action:
-        """Send back a call that was not taken in."""
-        load = self._telling.load()
-        self.refusals.note(req, reason, retry_after_s, load)
+        """Refuse a call that was not admitted."""
+        load = self._reports.load()
+        self.refusals.add(req, reason, retry_after_s, load)
         self._count.refused += 1
         return self.send(
             peer, req["seq"], replies.refusal_frame(req["seq"], "no", reason, retry_after_s, load)
         )
 
     def fates(self, peer: Peer, seqs: list[int]) -> list[Frame]:
-        """Return what became of calls that have ended here, or never came."""
+        """Return the results of these calls, except of those that still wait or run."""
         frames: list[Frame] = []
         for seq in seqs:
             if seq in peer.live or self.joined.holds(peer.incarnation, seq):
@@ -91,19 +93,19 @@
             frame = peer.kept.get(seq)
             if frame is None:
                 ran, reason = fate_without_result(peer, seq)
-                frame = replies.refusal_frame(seq, ran, reason, 0.0, self._telling.load())
+                frame = replies.refusal_frame(seq, ran, reason, 0.0, self._reports.load())
             frames.append(frame)
         return frames
 
     def send(self, peer: Peer, seq: int, frame: Frame) -> Action:
-        """Send the end of a call, and keep it until its ingress says that it has it."""
+        """Send a result; those for other hosts are kept, so that they can be asked for again."""
         if peer.link == LOCAL_LINK:
             return SendTo(LOCAL_LINK, frame)
         self._peers.keep(peer, seq, frame)
         return SendTo(-1 if peer.link is None else peer.link, frame)
 
     def _waiters(self, ticket: Ticket) -> list[tuple[Peer, int]]:
-        """Return who waits for the call: its ingress, and those that sent its key again."""
+        """Return who waits for the call: its ingress, and the calls that joined by its key."""
         waiters = [(ticket.incarnation, ticket.request["seq"])]
         if ticket.key:
             waiters += self.joined.take(ticket.key)
--- a/foldhoist/delivery/ingress.py
+++ b/foldhoist/delivery/ingress.py
@@ -1,7 +1,7 @@
-"""The ingress's side of delivery: it owns a call from arrival to its final answer.
+"""The ingress's side of delivery: handles a call from its arrival to its final answer.
 
-It takes requests, frames and the fate of connections with an explicit `now` (monotonic seconds)
-and returns actions for the tasks that own the sockets. It does no I/O and reads no clock.
+Its methods take requests, frames and changes of connections with an explicit `now` (monotonic
+seconds) and return actions for the tasks that own the sockets. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -9,66 +9,64 @@
 from typing import TYPE_CHECKING
 
 from foldhoist.delivery import rules
-from foldhoist.delivery.book import CallBook
+from foldhoist.delivery.admission_checks import AdmissionChecks
 from foldhoist.delivery.call import (
     Action,
     Call,
     CallerRequest,
     Connect,
     Counters,
-    Live,
-    Outgoing,
+    OwnerFrame,
+    PendingAttempt,
     Reply,
     SendTo,
     Timer,
-    record_of,
+    make_record,
 )
-from foldhoist.delivery.door import Door
-from foldhoist.delivery.entrance import UNAUTHORIZED, Entrance, TurnedAway
-from foldhoist.delivery.outgoing import dispatch_of
+from foldhoist.delivery.call_table import CallTable
+from foldhoist.delivery.dispatch_message import dispatch_message
 from foldhoist.delivery.quota_gate import Begin, QuotaGate, Refuse
+from foldhoist.delivery.request_intake import UNAUTHORIZED, RejectedRequest, RequestIntake
 from foldhoist.delivery.services import RetrySlack, Services
 from foldhoist.delivery.verdict import Answered, MayHaveRun, NotRun, Response, Verdict
-from foldhoist.quarantine.table import HELD
+from foldhoist.quarantine.table import QUARANTINED
 from foldhoist.routing.picker import NO_CONNECTION, NoChoice, Picker
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
     from random import Random
 
-    from foldhoist.delivery.quota_gate import Passed
+    from foldhoist.delivery.quota_gate import GateAction
     from foldhoist.quarantine.table import Quarantine
     from foldhoist.routing.picker import Member
     from foldhoist.schema.fleet import Fleet
     from foldhoist.schema.messages import Answer, Credit, Refusal, Report
 
-FATE_S = 1.0
-"""Longest wait for an owner to say what became of a call, seconds."""
+FATE_TIMEOUT_S = 1.0
+"""Longest wait for the outcome of a call after the connection to its owner is lost, seconds."""
 
 
 class Ingress:
-    """Every call that entered at this daemon and has no final answer yet."""
+    """Runs the calls that entered at this daemon until each has its final answer."""
 
     def __init__(
         self,
         data_centre: str,
-        most_calls: int,
+        max_calls: int,
         rng: Random,
         slack: RetrySlack | None = None,
         quarantine: Quarantine | None = None,
     ) -> None:
-        self.door = Door(most_calls, quarantine)
+        self.admission = AdmissionChecks(max_calls, quarantine)
         self.generation = 0
         self.explain = True
         self.count = Counters()
         self._services = Services(data_centre, rng, slack)
-        self.entrance = Entrance(self.door, self._services)
-        self._book = CallBook()
-        self.gate = QuotaGate(self._book, self.count, rng)
-        self._linked: dict[str, str] = {}
-        self._up: set[str] = set()
-
-    # What the tasks tell it
+        self.intake = RequestIntake(self.admission, self._services)
+        self._calls = CallTable()
+        self.gate = QuotaGate(self._calls, self.count, rng)
+        self._incarnations: dict[str, str] = {}
+        self._connected: set[str] = set()
 
     def adopt(
         self,
@@ -79,112 +77,112 @@
         homes: Mapping[str, tuple[str, ...]],
         daemons: int = 1,
     ) -> list[Action]:
-        """Take over a configuration; what is known of upstreams that stay is kept."""
+        """Apply a configuration; keeps what is known of upstreams that remain in it."""
         self.generation = generation
-        self.entrance.adopt(fleet)
+        self.intake.adopt(fleet)
         self._services.adopt(fleet, homes)
-        passed = self.gate.adopt(now, self.entrance.customers)
-        return [*self.track(now, tracked, daemons), *self._pass(now, passed)]
+        decided = self.gate.adopt(now, self.intake.customers)
+        return [*self.track(now, tracked, daemons), *self._apply_gate(now, decided)]
 
     def track(
         self, now: float, tracked: Mapping[str, list[Member]], daemons: int = 1
     ) -> list[Action]:
-        """Take over the upstreams to choose from; `daemons` share what may be retried."""
-        self._services.track(now, tracked, self._up, daemons)
+        """Set the upstreams to choose from; `daemons` is how many daemons share the retry slack."""
+        self._services.track(now, tracked, self._connected, daemons)
         return self._unpark(now)
 
-    def replaced(self, now: float, target: str) -> None:
-        """Take in that another upstream stands where this one stood."""
-        self._services.linked(now, target, target in self._up, fresh=True)
+    def upstream_replaced(self, now: float, target: str) -> None:
+        """Reset what is known of an upstream after another one took its place."""
+        self._services.linked(now, target, target in self._connected, fresh=True)
 
     def arrive(self, now: float, call_id: int, req: CallerRequest) -> list[Action]:
-        """Take in a request of a caller."""
+        """Handle a request of a caller."""
         self.count.calls += 1
-        entry = self.entrance.enter(now, call_id, req, len(self._book))
-        if isinstance(entry, TurnedAway):
-            return [self._turn_away(now, entry)]
+        entry = self.intake.process(now, call_id, req, len(self._calls))
+        if isinstance(entry, RejectedRequest):
+            return [self._reject(now, entry)]
         call = entry.call
-        self._book.add(call)
-        self._book.remind(call.deadline, call, Timer.EXPIRE)
-        return self._pass(now, self.gate.enter(now, call))
+        self._calls.add(call)
+        self._calls.schedule(call.deadline, call, Timer.EXPIRE)
+        return self._apply_gate(now, self.gate.enter(now, call))
 
     def credited(self, now: float, message: Credit) -> list[Action]:
-        """Take in what a keeper lends of a customer's quota."""
-        return self._pass(now, self.gate.credited(now, message))
+        """Handle a quota server's reply to a request for credit."""
+        return self._apply_gate(now, self.gate.credited(now, message))
 
     def answer(self, now: float, target: str, message: Answer) -> list[Action]:
-        """Take in an owner's answer; a late one is counted and dropped."""
+        """Handle an owner's answer; a late one is counted and dropped."""
         ended = self._end_attempt(message["seq"])
         if ended is None:
             return []
-        call, live, picker = ended
+        call, attempt, picker = ended
         if picker is not None:
-            rules.tell_answer(now, picker, call, live, message)
-        call.note(now, live, "answered", message["waited_us"], message["served_us"])
+            rules.report_answer(now, picker, call, attempt, message)
+        call.note(now, attempt, "answered", message["waited_us"], message["served_us"])
         response = Response(message["status"], message["headers"], message["body"])
         failed = response.status >= rules.SERVER_ERROR
         if failed and call.repeatable and not call.req.key:
             call.failure = response
-            return self._go_on(now, call, "upstream-failed", 0.0)
+            return self._retry(now, call, "upstream-failed", 0.0)
         return self._finish(now, call, Answered(response))
 
     def refusal(self, now: float, target: str, message: Refusal) -> list[Action]:
-        """Take in an owner's refusal: try elsewhere, or give the final answer."""
+        """Handle an owner's refusal: retry at another owner, or give the final answer."""
         ended = self._end_attempt(message["seq"])
         if ended is None:
             return []
-        call, live, picker = ended
+        call, attempt, picker = ended
         if picker is not None:
-            rules.tell_refusal(now, picker, call, live, message)
-        call.note(now, live, f"{message['ran']}:{message['reason']}", 0, 0)
+            rules.report_refusal(now, picker, call, attempt, message)
+        call.note(now, attempt, f"{message['ran']}:{message['reason']}", 0, 0)
         if message["ran"] == "maybe":
-            call.maybe = message["reason"]
+            call.may_have_run_reason = message["reason"]
         elif message.get("reached", False):
             self.count.turned_away += 1
         else:
             call.arrivals -= 1
-        return self._go_on(now, call, message["reason"], message["retry_after_ms"] / 1000)
+        return self._retry(now, call, message["reason"], message["retry_after_ms"] / 1000)
 
     def report(self, now: float, target: str, message: Report) -> None:
-        """Take in a report that an owner sent by itself."""
+        """Handle an unsolicited load report of an owner."""
         for state in self._services.all():
             state.picker.reported(target, now, message["load"])
 
     def link_up(self, now: float, target: str, incarnation: str) -> list[Action]:
-        """Take in a new connection to an owner; ask for the fate of calls of an older one."""
-        fresh = self._linked.get(target) != incarnation
-        self._linked[target] = incarnation
-        self._up.add(target)
+        """Handle a new connection to an owner; asks for the outcome of calls of an older one."""
+        fresh = self._incarnations.get(target) != incarnation
+        self._incarnations[target] = incarnation
+        self._connected.add(target)
         self.gate.linked(now, target, up=True)
         self._services.linked(now, target, True, fresh)
         return [*self._ask_fate(now, target, fresh), *self._unpark(now)]
 
     def link_closing(self, now: float, target: str) -> list[Action]:
-        """Take in that an owner takes no more calls; it still answers those that it has."""
-        self._up.discard(target)
+        """Stop sending calls to an owner; it still answers those that it has."""
+        self._connected.discard(target)
         self._services.linked(now, target, False, fresh=False)
-        return self._pass(now, self.gate.linked(now, target, up=False))
+        return self._apply_gate(now, self.gate.linked(now, target, up=False))
 
     def link_lost(self, now: float, target: str) -> list[Action]:
-        """Take in that a connection to an owner fell."""
+        """Handle the loss of the connection to an owner."""
         actions = self.link_closing(now, target)
-        for call, live in self._book.at(target):
-            if live.asking:
+        for call, attempt in self._calls.attempts_at(target):
+            if attempt.fate_due:
                 continue
             if call.repeatable and not call.req.key:
-                actions += self._lose(now, call, live, "owner-connection-lost")
+                actions += self._attempt_lost(now, call, attempt, "owner-connection-lost")
                 continue
-            live.asking = now + FATE_S
-            self._book.remind(min(live.asking, call.deadline), call, Timer.UNASKED)
+            attempt.fate_due = now + FATE_TIMEOUT_S
+            self._calls.schedule(min(attempt.fate_due, call.deadline), call, Timer.FATE_TIMEOUT)
         return actions
 
     def link_refused(self, now: float, target: str) -> list[Action]:
-        """Take in that the owner's process is gone: nobody can say what became of its calls."""
-        return self._end_asking(now, target, "owner-gone")
+        """Handle the end of an owner's process: the outcome of its calls stays unknown."""
+        return self._end_awaiting_fate(now, target, "owner-gone")
 
-    def caller_gone(self, now: float, call_id: int) -> list[Action]:
-        """Take in that a caller has closed its connection: nobody waits for the call."""
-        call = self._book.remove(call_id)
+    def caller_disconnected(self, now: float, call_id: int) -> list[Action]:
+        """Withdraw a call whose caller has closed its connection."""
+        call = self._calls.remove(call_id)
         if call is None:
             return []
         self.count.gone += 1
@@ -192,42 +190,38 @@
         return self._withdraw_all(now, call)
 
     def tick(self, now: float) -> list[Action]:
-        """Give the final answer to calls whose time is up, and send hedges."""
-        actions = self._pass(now, self.gate.tick(now))
-        for call, kind in self._book.due(now):
+        """Run the timers that are due: deadlines, hedges and waits."""
+        actions = self._apply_gate(now, self.gate.tick(now))
+        for call, kind in self._calls.due(now):
             actions += self._on_timer(now, call, kind)
         return actions
 
-    # What others may read
-
     def next_at(self) -> float | None:
-        """Return when `tick` has something to do, monotonic seconds."""
-        times = [at for at in (self._book.next_at(), self.gate.next_at()) if at is not None]
+        """Return when `tick` is due next, monotonic seconds, or None if nothing is scheduled."""
+        times = [at for at in (self._calls.next_at(), self.gate.next_at()) if at is not None]
         return min(times, default=None)
 
     @property
     def calls(self) -> int:
-        """Return the calls without a final answer."""
-        return len(self._book)
+        """Return the number of calls without a final answer."""
+        return len(self._calls)
 
     def is_busy(self, target: str) -> bool:
-        """Return whether a call is under way at an owner."""
-        return bool(self._book.at(target))
+        """Return whether an attempt without a result is at this owner."""
+        return bool(self._calls.attempts_at(target))
 
     def pickers(self) -> dict[str, Picker]:
         """Return the picker of each service."""
         return {name: state.picker for name, state in self._services.items()}
 
-    # Steps
-
-    def _end_attempt(self, seq: int) -> tuple[Call, Live, Picker | None] | None:
-        """Return the call and the attempt that a result is for, or None if it comes too late."""
-        call = self._book.by_seq.pop(seq, None)
+    def _end_attempt(self, seq: int) -> tuple[Call, PendingAttempt, Picker | None] | None:
+        """Remove the attempt that a result is for; returns None if the result is late."""
+        call = self._calls.by_seq.pop(seq, None)
         if call is None:
             self.count.late += 1
             return None
         state = self._services.get(call.service)
-        return call, call.live.pop(seq), state.picker if state is not None else None
+        return call, call.pending.pop(seq), state.picker if state is not None else None
 
     def _on_timer(self, now: float, call: Call, kind: Timer) -> list[Action]:
         if now >= call.deadline:
@@ -235,9 +229,9 @@
         match kind:
             case Timer.HEDGE:
                 return self._hedge(now, call)
-            case Timer.UNASKED:
-                return self._end_unasked(now, call)
-            case Timer.UNPARK if self._book.unpark(call.call_id):
+            case Timer.FATE_TIMEOUT:
+                return self._end_fate_timeouts(now, call)
+            case Timer.PARK_TIMEOUT if self._calls.unpark(call.call_id):
                 return self._give_up(now, call, NO_CONNECTION, 1.0)
         return []
 
@@ -245,30 +239,30 @@
         state = self._services.get(call.service)
         if state is None:
             return self._give_up(now, call, "service-removed", 0.0)
-        wait_s = rules.park_s(now, call, state)
+        wait_s = rules.max_park_s(now, call, state)
         if not wait_s:
             return self._give_up(now, call, NO_CONNECTION, 1.0)
-        self._book.park(call)
-        self._book.remind(now + wait_s, call, Timer.UNPARK)
+        self._calls.park(call)
+        self._calls.schedule(now + wait_s, call, Timer.PARK_TIMEOUT)
         return [Connect(rules.owners_for(call, state))]
 
     def _unpark(self, now: float) -> list[Action]:
         actions: list[Action] = []
-        for call in self._book.unpark_all():
-            if call.call_id in self._book:
+        for call in self._calls.unpark_all():
+            if call.call_id in self._calls:
                 actions += self._attempt(now, call)
         return actions
 
-    def _turn_away(self, now: float, entry: TurnedAway) -> Reply:
+    def _reject(self, now: float, entry: RejectedRequest) -> Reply:
         call, verdict = entry
         self.count.not_run += 1
         self.count.unidentified += verdict.status == UNAUTHORIZED
-        return Reply(call.call_id, verdict, record_of(call, now, verdict, self.generation))
+        return Reply(call.call_id, verdict, make_record(call, now, verdict, self.generation))
 
-    def _pass(self, now: float, passed: list[Passed]) -> list[Action]:
-        """Carry out what was decided on calls of customers with quotas."""
+    def _apply_gate(self, now: float, decided: list[GateAction]) -> list[Action]:
+        """Apply the quota gate's decisions."""
         actions: list[Action] = []
-        for each in passed:
+        for each in decided:
             match each:
                 case Begin(call):
                     actions += self._begin(now, call)
@@ -279,52 +273,52 @@
         return actions
 
     def _begin(self, now: float, call: Call) -> list[Action]:
-        """Make the first attempt of a call that may run."""
+        """Make the first attempt of a call that the quota gate let through."""
         state = self._services.get(call.service)
         if state is None:
             return self._give_up(now, call, "service-removed", 1.0)
-        call.begun = True
-        state.budget.call(now, call.req.repeat)
+        call.admitted = True
+        state.budget.record_call(now, call.req.repeat)
         actions = self._attempt(now, call)
         if hedge_s := rules.hedge_after_s(call, state):
-            self._book.remind(now + hedge_s, call, Timer.HEDGE)
+            self._calls.schedule(now + hedge_s, call, Timer.HEDGE)
         return actions
 
     def _attempt(self, now: float, call: Call, first_reason: str = "") -> list[Action]:
         state = self._services.get(call.service)
-        pick = rules.pick(now, call, state, self._up, explain=self.explain)
+        pick = rules.pick(now, call, state, self._connected, explain=self.explain)
         if isinstance(pick, NoChoice):
-            if pick.reason == NO_CONNECTION and not call.tries:
+            if pick.reason == NO_CONNECTION and not call.dispatches:
                 return self._park(now, call)
             return self._give_up(now, call, first_reason or pick.reason, pick.retry_after_s)
-        if call.deadline - now < rules.LEAST_BUDGET_S:
+        if call.deadline - now < rules.MIN_BUDGET_S:
             return self._give_up(now, call, "deadline-passed", 0.0)
-        seq = self._book.next_seq()
-        call.tries += 1
+        seq = self._calls.next_seq()
+        call.dispatches += 1
         call.arrivals += 1
         call.excluded.add(pick.name)
-        call.live[seq] = Live(seq, pick.name, pick, now)
-        self._book.by_seq[seq] = call
+        call.pending[seq] = PendingAttempt(seq, pick.name, pick, now)
+        self._calls.by_seq[seq] = call
         if state is not None:
             state.picker.sent(pick.name, seq, now)
-        acked = self._book.oldest_seq(seq)
+        acked = self._calls.oldest_seq(seq)
         expected_s = state.picker.times.mean(call.route) if state is not None else 0.0
-        message = dispatch_of(now, call, seq, acked, self.generation, expected_s)
-        return [SendTo(pick.name, Outgoing("Dispatch", message))]
+        message = dispatch_message(now, call, seq, acked, self.generation, expected_s)
+        return [SendTo(pick.name, OwnerFrame("Dispatch", message))]
 
-    def _go_on(self, now: float, call: Call, reason: str, retry_after_s: float) -> list[Action]:
-        if call.live:
+    def _retry(self, now: float, call: Call, reason: str, retry_after_s: float) -> list[Action]:
+        if call.pending:
             return []
-        if held_s := self.door.held_s(now, call):
-            return self._give_up(now, call, HELD, held_s)
+        if quarantined_s := self.admission.quarantined_s(now, call):
+            return self._give_up(now, call, QUARANTINED, quarantined_s)
         if not rules.may_retry(now, call, self._services.get(call.service), self.count):
             return self._give_up(now, call, reason, retry_after_s)
         self.count.retried += 1
         return self._attempt(now, call, first_reason=reason)
 
     def _hedge(self, now: float, call: Call) -> list[Action]:
-        # Under a call that ends upstreams a hedge would end a second one at once.
-        if len(call.live) != 1 or self.door.is_suspect(call):
+        # A call that may have crashed an upstream is not sent to a second one meanwhile.
+        if len(call.pending) != 1 or self.admission.is_suspect(call):
             return []
         if not rules.may_retry(now, call, self._services.get(call.service), self.count):
             return []
@@ -332,66 +326,68 @@
         return self._attempt(now, call)
 
     def _give_up(self, now: float, call: Call, reason: str, retry_after_s: float) -> list[Action]:
-        if call.live:
+        if call.pending:
             return []
         return self._finish(now, call, rules.last_verdict(call, NotRun(reason, retry_after_s)))
 
     def _expire(self, now: float, call: Call) -> list[Action]:
-        if call.failure is None and (call.live or call.maybe):
+        if call.failure is None and (call.pending or call.may_have_run_reason):
             return self._finish(now, call, MayHaveRun("deadline-passed", status=504))
         not_run = NotRun("deadline-passed", 0.0, status=504)
         return self._finish(now, call, rules.last_verdict(call, not_run))
 
     def _finish(self, now: float, call: Call, verdict: Verdict) -> list[Action]:
-        if self._book.remove(call.call_id) is None:
+        if self._calls.remove(call.call_id) is None:
             return []
-        for live in call.live.values():
-            call.note(now, live, "withdrawn", 0, 0)
+        for attempt in call.pending.values():
+            call.note(now, attempt, "withdrawn", 0, 0)
         self.count.ended(verdict)
         self.gate.ended(now, call, ran=not isinstance(verdict, NotRun))
-        reply = Reply(call.call_id, verdict, record_of(call, now, verdict, self.generation))
+        reply = Reply(call.call_id, verdict, make_record(call, now, verdict, self.generation))
         return [reply, *self._withdraw_all(now, call)]
 
     def _withdraw_all(self, now: float, call: Call) -> list[Action]:
         actions: list[Action] = []
         state = self._services.get(call.service)
-        for seq, live in call.live.items():
-            self._book.by_seq.pop(seq, None)
+        for seq, attempt in call.pending.items():
+            self._calls.by_seq.pop(seq, None)
             if state is not None:
-                state.picker.abandoned(live.target, seq, now)
-            actions.append(SendTo(live.target, Outgoing("Withdraw", {"seq": seq})))
-        call.live = {}
+                state.picker.abandoned(attempt.target, seq, now)
+            actions.append(SendTo(attempt.target, OwnerFrame("Withdraw", {"seq": seq})))
+        call.pending = {}
         return actions
 
     def _ask_fate(self, now: float, target: str, fresh: bool) -> list[Action]:
-        asked = self._book.asking(target)
+        asked = self._calls.awaiting_fate(target)
         if not asked:
             return []
         if fresh:
-            return self._end_asking(now, target, "owner-restarted")
+            return self._end_awaiting_fate(now, target, "owner-restarted")
         self.count.fate_asked += len(asked)
-        seqs = [live.seq for _, live in asked]
-        return [SendTo(target, Outgoing("FateAsk", {"seqs": seqs}))]
+        seqs = [attempt.seq for _, attempt in asked]
+        return [SendTo(target, OwnerFrame("FateAsk", {"seqs": seqs}))]
 
-    def _end_asking(self, now: float, target: str, reason: str) -> list[Action]:
+    def _end_awaiting_fate(self, now: float, target: str, reason: str) -> list[Action]:
         actions: list[Action] = []
-        for call, live in self._book.asking(target):
-            actions += self._lose(now, call, live, reason)
+        for call, attempt in self._calls.awaiting_fate(target):
+            actions += self._attempt_lost(now, call, attempt, reason)
         return actions
 
-    def _end_unasked(self, now: float, call: Call) -> list[Action]:
+    def _end_fate_timeouts(self, now: float, call: Call) -> list[Action]:
         actions: list[Action] = []
-        for live in list(call.live.values()):
-            if live.asking and now >= live.asking:
-                actions += self._lose(now, call, live, "owner-unreachable")
+        for attempt in list(call.pending.values()):
+            if attempt.fate_due and now >= attempt.fate_due:
+                actions += self._attempt_lost(now, call, attempt, "owner-unreachable")
         return actions
 
-    def _lose(self, now: float, call: Call, live: Live, reason: str) -> list[Action]:
-        call.live.pop(live.seq, None)
-        self._book.by_seq.pop(live.seq, None)
+    def _attempt_lost(
+        self, now: float, call: Call, attempt: PendingAttempt, reason: str
+    ) -> list[Action]:
+        call.pending.pop(attempt.seq, None)
+        self._calls.by_seq.pop(attempt.seq, None)
         state = self._services.get(call.service)
         if state is not None:
-            state.picker.lost(live.target, live.seq, now)
-        call.maybe = reason
-        call.note(now, live, f"maybe:{reason}", 0, 0)
-        return self._go_on(now, call, reason, 0.5)
+            state.picker.lost(attempt.target, attempt.seq, now)
+        call.may_have_run_reason = reason
+        call.note(now, attempt, f"maybe:{reason}", 0, 0)
+        return self._retry(now, call, reason, 0.5)
--- a/foldhoist/delivery/pieces.py
+++ b/foldhoist/delivery/pieces.py
@@ -1,6 +1,6 @@
-"""Large answers in pieces, so that other messages of the same connection go in between; no I/O.
+"""Splits large answers into pieces, so that other messages can be interleaved; no I/O.
 
-A message is handed on whole or not at all: what the connection's end has cut off is dropped.
+An answer is delivered complete or not at all: one cut off by a lost connection is dropped.
 """
 
 from __future__ import annotations
@@ -16,89 +16,98 @@
     from foldhoist.schema.messages import Piece
 
 PIECE_BYTES = 16 * 1024
-"""Size of a piece, bytes: 11 ms on a link of 12 Mbit/s, the most that others wait for it."""
+"""Size of a piece, bytes; bounds how long other messages wait for one on a slow link."""
 
 
-class _Rest(NamedTuple):
-    """What is left to send of an answer's body."""
+class _Remainder(NamedTuple):
+    """The part of an answer's body that is still to be sent."""
 
     number: int
     body: memoryview
 
 
-class Cutter:
-    """Cuts the answers that one connection sends; pieces of several go by turns."""
+class Fragmenter:
+    """Splits the answers sent over one connection; pieces of several answers alternate."""
 
     def __init__(self) -> None:
-        self.pending = 0
+        self.pending_bytes = 0
         self._next = 1
-        self._rests: deque[_Rest] = deque()
+        self._remainders: deque[_Remainder] = deque()
 
-    def cut(self, body: Mapping[str, Any]) -> Mapping[str, Any]:
-        """Return the message to send first; the rest of a large answer follows by `piece`."""
+    def first(self, body: Mapping[str, Any]) -> Mapping[str, Any]:
+        """Return the message to send now; `next_piece` returns the rest of a large bulk answer."""
         raw: bytes = body.get("body", b"")
         if len(raw) <= PIECE_BYTES or not body.get("bulk", False):
             return body
         number = self._next
         self._next += 1
-        self._rests.append(_Rest(number, memoryview(raw)[PIECE_BYTES:]))
-        self.pending += len(raw) - PIECE_BYTES
+        self._remainders.append(_Remainder(number, memoryview(raw)[PIECE_BYTES:]))
+        self.pending_bytes += len(raw) - PIECE_BYTES
         return {**body, "body": raw[:PIECE_BYTES], "rest": number}
 
-    def piece(self) -> Piece | None:
-        """Return the next piece, None if nothing is left to send."""
-        if not self._rests:
+    def next_piece(self) -> Piece | None:
+        """Return the next piece, or None if nothing is left to send."""
+        if not self._remainders:
             return None
-        rest = self._rests.popleft()
+        rest = self._remainders.popleft()
         sent, left = rest.body[:PIECE_BYTES], rest.body[PIECE_BYTES:]
-        self.pending -= len(sent)
+        self.pending_bytes -= len(sent)
         if left:
-            self._rests.append(_Rest(rest.number, left))
+            self._remainders.append(_Remainder(rest.number, left))
         return {"number": rest.number, "last": not left, "body": bytes(sent)}
 
 
-class _Open(NamedTuple):
-    """An answer of which more is to come."""
+class _Partial(NamedTuple):
+    """An answer whose pieces have not all arrived."""
 
     body: dict[str, Any]
     parts: list[bytes]
 
 
-class Joiner:
-    """Puts together what one connection brings; `limit` is the longest body, bytes."""
+class Reassembler:
+    """Reassembles the answers received over one connection.
+
+    `limit` is the total size of incomplete answers, bytes.
+    """
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
-        self._open: dict[int, _Open] = {}
-        self._held = 0
+        self._partials: dict[int, _Partial] = {}
+        self._buffered_bytes = 0
+
+    def on_answer(self, body: dict[str, Any]) -> dict[str, Any] | None:
+        """Return the answer if it is complete, or None if pieces of it follow.
 
-    def answer(self, body: dict[str, Any]) -> dict[str, Any] | None:
-        """Return an answer that is whole, or None if pieces of it are to come."""
+        Raises ProtocolError if the number is in use or the limit is exceeded.
+        """
         number = body.pop("rest", None)
         if number is None:
             return body
-        if number in self._open:
-            raise ProtocolError(f"the answer with rest {number} is there twice")
-        self._open[number] = _Open(body, [])
-        self._hold(body["body"])
-        self._open[number].parts.append(body["body"])
+        if number in self._partials:
+            raise ProtocolError(f"two incomplete answers have number {number}")
+        self._partials[number] = _Partial(body, [])
+        self._add_buffered(body["body"])
+        self._partials[number].parts.append(body["body"])
         return None
 
-    def piece(self, piece: Piece) -> dict[str, Any] | None:
-        """Return the answer that this piece completes, or None."""
-        opened = self._open.get(piece["number"])
-        if opened is None:
-            raise ProtocolError(f"a piece of {piece['number']}, of which no answer is there")
-        self._hold(piece["body"])
-        opened.parts.append(piece["body"])
+    def on_piece(self, piece: Piece) -> dict[str, Any] | None:
+        """Return the answer that this piece completes, or None.
+
+        Raises ProtocolError if the number is unknown or the limit is exceeded.
+        """
+        partial = self._partials.get(piece["number"])
+        if partial is None:
+            raise ProtocolError(f"piece of unknown answer {piece['number']}")
+        self._add_buffered(piece["body"])
+        partial.parts.append(piece["body"])
         if not piece["last"]:
             return None
-        del self._open[piece["number"]]
-        whole = b"".join(opened.parts)
-        self._held -= len(whole)
-        return {**opened.body, "body": whole}
-
-    def _hold(self, part: bytes) -> None:
-        self._held += len(part)
-        if self._held > self._limit:
-            raise ProtocolError(f"more than {self._limit} bytes of answers without their ends")
+        del self._partials[piece["number"]]
+        joined = b"".join(partial.parts)
+        self._buffered_bytes -= len(joined)
+        return {**partial.body, "body": joined}
+
+    def _add_buffered(self, part: bytes) -> None:
+        self._buffered_bytes += len(part)
+        if self._buffered_bytes > self._limit:
+            raise ProtocolError(f"incomplete answers exceed {self._limit} bytes")
--- a/tests/integration/mutants.py
+++ b/tests/integration/mutants.py
@@ -9,7 +9,7 @@
 from foldhoist.admission.bucket import TokenBucket
 from foldhoist.daemon import prober
 from foldhoist.daemon.upstream import UpstreamConnection
-from foldhoist.delivery import ingress, keys, standing
+from foldhoist.delivery import ingress, keys, upstream_status
 
 
 def fate_says_no() -> None:
@@ -17,9 +17,9 @@
 
     def lost(self: ingress.Ingress, now: float, target: str) -> list[Any]:
         actions: list[Any] = []
-        for call, live in self._book.at(target):
-            call.live.pop(live.seq, None)
-            self._book.by_seq.pop(live.seq, None)
+        for call, attempt in self._calls.attempts_at(target):
+            call.pending.pop(attempt.seq, None)
+            self._calls.by_seq.pop(attempt.seq, None)
             actions += self._give_up(now, call, "connection-lost", 0.1)
         return actions
 
@@ -58,7 +58,7 @@
 
 def no_leaving() -> None:
     """An owner takes new work whatever it is told."""
-    standing.Standing.leave = lambda self, source: False  # type: ignore[method-assign]
+    upstream_status.UpstreamStatus.set_leaving = lambda self, source: False  # type: ignore[method-assign]
 
 
 def no_probe_budget() -> None:
--- a/tests/model/leaving_spec.py
+++ b/tests/model/leaving_spec.py
@@ -13,10 +13,14 @@
 
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from foldhoist.membership.lives import EndedLives, Life, from_rows
+from foldhoist.membership.incarnations import (
+    EndedIncarnations,
+    UpstreamIncarnation,
+    incarnations_from_rows,
+)
 from foldhoist.membership.registry import Peer, Registration, Registry
-from foldhoist.membership.settling import Settling
-from foldhoist.membership.upstream import Heard, OwnUpstream
+from foldhoist.membership.startup_barrier import StartupBarrier
+from foldhoist.membership.upstream import AnnouncementResult, OwnUpstream
 from tests.model.checking import protocol
 
 if TYPE_CHECKING:
@@ -101,14 +105,14 @@
     return own
 
 
-def lives_of(starts: tuple[int, ...]) -> list[Life]:
+def lives_of(starts: tuple[int, ...]) -> list[UpstreamIncarnation]:
     """Return ended lives by their starts."""
-    return [Life(NAME, start) for start in starts]
+    return [UpstreamIncarnation(NAME, start) for start in starts]
 
 
-def starts_of(lives: EndedLives) -> tuple[int, ...]:
+def starts_of(lives: EndedIncarnations) -> tuple[int, ...]:
     """Return the starts of ended lives."""
-    return tuple(life.born_ms for life in lives.lives())
+    return tuple(life.born_ms for life in lives.incarnations())
 
 
 def with_own(world: World, own: OwnUpstream) -> World:
@@ -152,7 +156,7 @@
         "data_centre": "one",
         "version": 0,
         "upstream": announced("ready", 0, 0),
-        "ended": EndedLives(lives_of(world.ended)).rows(),
+        "ended": EndedIncarnations(lives_of(world.ended)).rows(),
     }
 
 
@@ -246,10 +250,10 @@
         state, sequence, born = world.beats[at]
         rest = world._replace(beats=world.beats[:at] + world.beats[at + 1 :])
         own = own_of(rest)
-        is_known = Life(NAME, born) in own.ended
-        heard = own.heard(announced(state, sequence, born))
+        is_known = UpstreamIncarnation(NAME, born) in own.ended
+        heard = own.apply_announcement(announced(state, sequence, born))
         after = with_own(rest, own)
-        if heard is Heard.LEAVING:
+        if heard is AnnouncementResult.LEAVING:
             after = after._replace(binding=born, noted=False, wrote=False)
         elif state == "leaving" and is_known and not self.rules.repeats_wait:
             after = after._replace(acked=max(world.acked, born), binding=0)
@@ -258,7 +262,7 @@
     def told(self, world: World) -> World:
         """The peer takes in what the daemon tells of itself."""
         registry = registry_of(world)
-        registry.told(0.0, member(world))
+        registry.update_member(0.0, member(world))
         peer = registry.peers["d"]
         ended = starts_of(peer.ended) if self.rules.keep_ended else world.ended
         return world._replace(peer=ended, peer_life=world.life)
@@ -271,28 +275,30 @@
             steps.append(("daemon reads its record", self.settles(heard)))
         if not world.linked:
             registry = registry_of(world)
-            registry.told(0.0, member(world))
-            known = registry.remembered("d")
+            registry.update_member(0.0, member(world))
+            known = registry.ended_incarnations("d")
             after = self.told(world)._replace(linked=True, asked_peer=True)
             if known is not None:
-                after = self.remembers(after, starts_of(EndedLives(from_rows(known))))
+                after = self.remembers(
+                    after, starts_of(EndedIncarnations(incarnations_from_rows(known)))
+                )
             steps.append(("peer connects", self.settles(after)))
         return steps
 
     def remembers(self, world: World, ended: tuple[int, ...]) -> World:
         """The daemon takes in lives that have ended."""
         own = own_of(world)
-        own.remember(lives_of(ended))
+        own.add_ended(lives_of(ended))
         return with_own(world, own)
 
     def settles(self, world: World) -> World:
         """The daemon may serve once it has heard enough."""
-        settling = Settling(first=world.settled)
+        barrier = StartupBarrier(first=world.settled)
         if world.asked_store:
-            settling.store_answered({"p"})
+            barrier.store_answered({"p"})
         if world.asked_peer:
-            settling.peer_remembered()
-        enough = settling.done
+            barrier.peer_remembered()
+        enough = barrier.done
         if not self.rules.hear_store_and_peer:
             enough = enough or world.asked_store or world.asked_peer
         return world._replace(settled=enough)
--- a/tests/model/spread_spec.py
+++ b/tests/model/spread_spec.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from foldhoist.configlog.versions import Held, Reply, Version
+from foldhoist.configlog.versions import CurrentVersion, Reply, Version
 from tests.model.checking import protocol
 
 if TYPE_CHECKING:
@@ -52,12 +52,12 @@
 Step = tuple[str, World]
 
 
-def held_of(world: World, daemon: int) -> Held:
+def held_of(world: World, daemon: int) -> CurrentVersion:
     """Return what a daemon holds as the real object."""
-    held = Held()
+    held = CurrentVersion()
     held.adopt(Version(world.held[daemon], b""))
     if world.refused[daemon]:
-        held.refuse(Version(world.refused[daemon], b""))
+        held.mark_unusable(Version(world.refused[daemon], b""))
     return held
 
 
@@ -120,9 +120,9 @@
         if not held.wants(number) and self.rules.never_back:
             return world
         if number == UNUSABLE and self.rules.whole_or_not:
-            held.refuse(Version(number, b""))
+            held.mark_unusable(Version(number, b""))
             if not self.rules.refused_stays_refused:
-                held = Held()
+                held = CurrentVersion()
         else:
             held.adopt(Version(number, b""))
         now = held.version.number
--- a/tests/unit/configlog/test_fold.py
+++ b/tests/unit/configlog/test_fold.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from foldhoist.configlog.fold import (
-    KeepRecord,
     PublishRecord,
+    SnapshotRecord,
     State,
     digest_of,
     fold,
@@ -22,8 +22,8 @@
     Publisher,
     Rejected,
     Unknown,
-    base_of,
-    new_id,
+    base_generation,
+    new_publish_id,
 )
 
 
@@ -47,14 +47,16 @@
     assert [outcome["generation"] for outcome in state.outcomes] == [1, 0]
 
 
-def test_a_proposal_whose_digest_lies_is_rejected() -> None:
+def test_a_proposal_with_a_wrong_digest_is_rejected() -> None:
     record = publish(0, State(), "a")
     record.body["content"] = "b"
     assert fold(State(), record).generation == 0
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.text(max_size=3)), max_size=12))
-def test_folding_again_or_in_pieces_gives_the_same(proposals: list[tuple[int, str]]) -> None:
+def test_folding_records_again_or_in_parts_gives_the_same_state(
+    proposals: list[tuple[int, str]],
+) -> None:
     states = [State()]
     records = []
     for offset, (back, content) in enumerate(proposals):
@@ -70,9 +72,9 @@
     assert generations == sorted(generations)
 
 
-def test_a_late_reader_starts_at_a_kept_state_and_is_exact() -> None:
+def test_a_late_reader_starts_from_a_snapshot_and_is_exact() -> None:
     first = fold(State(), publish(0, State(), "a"))
-    keep = KeepRecord(1, to_snapshot(first))
+    keep = SnapshotRecord(1, to_snapshot(first))
     after = publish(2, first, "b")
     state = fold_all([keep, after], 1)
     assert (state.generation, state.exact) == (2, True)
@@ -80,17 +82,17 @@
 
 def test_a_late_reader_with_a_gap_accepts_nothing() -> None:
     first = fold(State(), publish(0, State(), "a"))
-    keep = KeepRecord(3, to_snapshot(first))
+    keep = SnapshotRecord(3, to_snapshot(first))
     state = fold_all([keep, publish(4, first, "b")], 2)
     assert (state.generation, state.exact) == (1, False)
 
 
-def test_a_snapshot_comes_back() -> None:
+def test_a_snapshot_round_trips() -> None:
     state = fold(State(), publish(0, State(), "a"))
     assert from_snapshot(to_snapshot(state)) == state
 
 
-def test_merging_never_loses_a_generation() -> None:
+def test_a_merge_keeps_the_greatest_generation() -> None:
     old = State(1, digest_of("a"), "a", 5)
     new = State(2, digest_of("b"), "b", 9)
     guess = new._replace(exact=False)
@@ -101,7 +103,7 @@
 
 
 def test_a_publisher_appends_until_the_log_shows_it() -> None:
-    publish_id = new_id(State(), "x")
+    publish_id = new_publish_id(State(), "x")
     publisher = Publisher(publish_id, "a")
     step = publisher.next(State())
     assert isinstance(step, Append)
@@ -110,7 +112,7 @@
     assert publisher.next(state) == Accepted(1)
 
 
-def test_a_publisher_that_lost_is_told_why() -> None:
+def test_a_proposal_on_an_old_base_is_rejected() -> None:
     publisher = Publisher("0-x", "a")
     step = publisher.next(State())
     assert isinstance(step, Append)
@@ -118,13 +120,13 @@
     assert isinstance(publisher.next(state), Rejected)
 
 
-def test_asking_again_much_later_never_appends() -> None:
+def test_a_proposal_with_an_unknown_outcome_is_not_appended_again() -> None:
     state = State(9, digest_of("z"), "z", 50)
     assert isinstance(Publisher("3-x", "a").next(state), Unknown)
     assert isinstance(Publisher("9-x", "a").next(state._replace(exact=False)), Unknown)
     assert isinstance(Publisher("9-x", "a").next(None), Unknown)
 
 
-def test_a_publish_id_names_its_base() -> None:
-    assert base_of("12-abc") == 12
-    assert base_of("abc") is None
+def test_a_publish_id_contains_its_base_generation() -> None:
+    assert base_generation("12-abc") == 12
+    assert base_generation("abc") is None
--- a/tests/unit/daemon/test_upstream_task.py
+++ b/tests/unit/daemon/test_upstream_task.py
@@ -9,7 +9,7 @@
 
 from foldhoist.daemon import upstream_task
 from foldhoist.daemon.upstream_task import UpstreamTask
-from foldhoist.membership.lives import Life
+from foldhoist.membership.incarnations import UpstreamIncarnation
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
@@ -35,9 +35,9 @@
         """Keep the state."""
         self.told.append(upstream["state"])
 
-    def heard_again(self) -> None:
+    def announced_again(self) -> None:
         """Keep that."""
-        self.told.append("heard again")
+        self.told.append("announced again")
 
 
 class FakePeers:
@@ -131,7 +131,7 @@
     around.task.store_answered((), {"b"})
     assert around.owner.told == []
     assert around.task.described()["instance"] == ""
-    around.task.remember([Life("i-1")])
+    around.task.remember([UpstreamIncarnation("i-1")])
     assert around.owner.told == ["leaving"]
 
 
