--- a/tests/adapter/test_numbers.py
+++ b/tests/adapter/test_numbers.py
@@ -60,7 +60,7 @@
     assert settings["platform"]["retry_slack"] == float(slack)
     assert settings["platform"]["retry_window_s"] == float(window)
     part = RetrySlack(float(slack), float(window)).part(14)
-    assert part.held > 0
+    assert part.capacity > 0
     assert part.per_s > 0
 
 
