--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -19,14 +19,14 @@
 from foldhoist.daemon.callers import CallerConnection, Shared
 from foldhoist.daemon.configuration import ConfigurationTask
 from foldhoist.daemon.control import Control
-from foldhoist.daemon.figures import traffic_counters, traffic_gauges
 from foldhoist.daemon.handover import HandoverTask
 from foldhoist.daemon.ingress_task import IngressTask
 from foldhoist.daemon.links import LinkEvents, Links
-from foldhoist.daemon.operators import Operators
+from foldhoist.daemon.operators import OperatorServer
 from foldhoist.daemon.owner_task import OwnerTask
 from foldhoist.daemon.prober import Prober
 from foldhoist.daemon.quota_task import QuotaTask
+from foldhoist.daemon.traffic_metrics import traffic_counters, traffic_gauges
 from foldhoist.delivery.codec import FRAME_OVERHEAD_BYTES, SCHEMA_VERSION
 from foldhoist.delivery.ingress import Ingress
 from foldhoist.delivery.keys import KEY_WINDOW_S
@@ -135,7 +135,7 @@
         )
         self.handover = HandoverTask(self.owner, self.control)
         self.prober = Prober(cfg, self.client, self.owner_task.set_state, self._on_host)
-        self.operators = Operators(self)
+        self.operators = OperatorServer(self)
         self.addresses["operators"] = self.operators.address
         for task in (self.configuration, self.handover, self.prober, self.owner_task):
             task.start()
@@ -271,7 +271,7 @@
 
     def _on_peer(self, link: int, kind: str, body: Any) -> None:
         if kind == "CreditAsk":
-            self.quotas.asked(link, body)
+            self.quotas.on_ask(link, body)
 
     def _on_control(self, kind: str, body: Any) -> None:
         match kind:
--- a/foldhoist/daemon/stopping.py
+++ b/foldhoist/daemon/graceful_shutdown.py
@@ -16,24 +16,24 @@
 """Time in which callers learn that this daemon is not ready, seconds; it serves on meanwhile."""
 CLOSE_S = 3.2
 """From here on connections are closed as soon as no request is under way on them, seconds."""
-LOOK_S = 0.02
+CHECK_INTERVAL_S = 0.02
 """Time between two looks at what is still in flight, seconds."""
 FLUSH_S = 0.05
 """Time left to callers to read their last answer, seconds."""
 
 
-class Stopping:
+class GracefulShutdown:
     """The steps of a planned stop; times count from its beginning."""
 
     def __init__(self, daemon: MeshDaemon) -> None:
-        self.begun = False
+        self.started = False
         self._daemon = daemon
 
     async def run(self) -> None:
         """Stop the daemon; a second call does nothing."""
-        if self.begun:
+        if self.started:
             return
-        self.begun = True
+        self.started = True
         daemon = self._daemon
         logger.info("draining")
         loop = asyncio.get_running_loop()
@@ -66,4 +66,4 @@
     async def _wait_until(self, is_done: Callable[[], bool], limit: float) -> None:
         loop = asyncio.get_running_loop()
         while not is_done() and loop.time() < limit:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -18,7 +18,7 @@
 from foldhoist.config.reread import LIMITS, reread
 from foldhoist.configlog.versions import ReaderElection
 from foldhoist.daemon.callers import CallerConnection, Shared
-from foldhoist.daemon.figures import traffic_counters, traffic_gauges
+from foldhoist.daemon.graceful_shutdown import GracefulShutdown
 from foldhoist.daemon.ingress_task import IngressTask
 from foldhoist.daemon.links import LinkEvents, Links
 from foldhoist.daemon.owner_task import OwnerTask
@@ -26,7 +26,7 @@
 from foldhoist.daemon.peers_task import PeersTask
 from foldhoist.daemon.ports import load_adapter
 from foldhoist.daemon.quota_task import QuotaTask
-from foldhoist.daemon.stopping import Stopping
+from foldhoist.daemon.traffic_metrics import traffic_counters, traffic_gauges
 from foldhoist.daemon.upstream_task import UpstreamTask
 from foldhoist.daemon.versions_task import VersionsTask
 from foldhoist.delivery.codec import FRAME_OVERHEAD_BYTES, SCHEMA_VERSION
@@ -123,7 +123,7 @@
             self.rng,
         )
         await self._listen()
-        self.stopping = Stopping(self)
+        self.shutdown = GracefulShutdown(self)
         self.endpoints = self.adapter.listen(self.upstream, self._is_ready, self.metrics)
         self.addresses.update(self.endpoints.addresses)
         self.upstream.start(self.peers, first=cfg["platform"]["first_start"])
@@ -139,7 +139,7 @@
 
     async def drain(self) -> None:
         """Stop as planned."""
-        await self.stopping.run()
+        await self.shutdown.run()
 
     def reload(self, cfg: Settings) -> None:
         """Take over settings that have changed; some need a restart."""
@@ -153,7 +153,7 @@
         self._bodies.limit = limits["held_bytes"]
         self._slack.attempts = platform["retry_slack"]
         self._slack.window_s = platform["retry_window_s"]
-        self.quotas.keeper.slack = platform["quota_slack"]
+        self.quotas.server.slack = platform["quota_slack"]
         self._track()
         if self.versions.fleet is not None:
             self.shared.adopt(limits_of(limits, self.versions.fleet))
@@ -255,7 +255,7 @@
             self.ingress_task,
             self.owner_task,
             lambda: self.registry.peers,
-            self._on_seats,
+            self._on_quota_servers,
         )
 
     async def _listen(self) -> None:
@@ -279,7 +279,7 @@
         self._servers[0].close()
 
     def _is_ready(self) -> bool:
-        return self.versions.fleet is not None and not self.stopping.begun
+        return self.versions.fleet is not None and not self.shutdown.started
 
     def _is_service(self, name: str) -> bool:
         """Return whether the configuration names a service; without one, any may be."""
@@ -342,7 +342,7 @@
         for name in changed:
             self.ingress_task.ingress.upstream_replaced(now, name)
 
-    def _on_seats(self, hosts: frozenset[str]) -> None:
+    def _on_quota_servers(self, hosts: frozenset[str]) -> None:
         """Keep connections to the hosts that keep quotas."""
         self.registry.quota_servers = hosts
         self.peers.rewire_soon()
--- a/foldhoist/daemon/operators.py
+++ b/foldhoist/daemon/operators.py
@@ -60,7 +60,7 @@
         self.give({"draining": True})
 
 
-class Operators:
+class OperatorServer:
     """The operators' HTTP server of a daemon."""
 
     def __init__(self, daemon: Daemon) -> None:
--- a/foldhoist/daemon/peer_messages.py
+++ b/foldhoist/daemon/peer_messages.py
@@ -58,7 +58,7 @@
                 if body["wanted"]:
                     daemon.owner_task.reply(link, "Roster", daemon.peers.all_rows())
             case "CreditAsk":
-                daemon.quotas.asked(link, body)
+                daemon.quotas.on_ask(link, body)
             case "Fresh":
                 name = daemon.owner.peer_name(link)
                 if name:
@@ -103,4 +103,4 @@
             self.tell(link, member["name"])
         reply(link, "Noted", {"ended": member["ended"]})
         if daemon.versions.is_behind(member):
-            reply(link, *daemon.versions.for_newcomer(member["name"], member["version"]))
+            reply(link, *daemon.versions.update_for(member["name"], member["version"]))
--- a/foldhoist/daemon/quota_task.py
+++ b/foldhoist/daemon/quota_task.py
@@ -20,7 +20,7 @@
 
 MOST_SHOWN = 20
 """Quotas that the status shows: however many customers there are, it stays readable."""
-LOOK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 """Time between two looks at which hosts there are, seconds."""
 
 
@@ -35,16 +35,16 @@
         ingress_task: IngressTask,
         owner_task: OwnerTask,
         known: Callable[[], Iterable[str]],
-        on_seats: Callable[[frozenset[str]], None],
+        on_servers: Callable[[frozenset[str]], None],
     ) -> None:
-        """`known` returns the other hosts; `on_seats` is told which hosts keep quotas, if any."""
+        """`known` returns the other hosts; `on_servers` is told which hosts keep quotas, if any."""
         self.name = name
-        self.keeper = QuotaServer(name, slack)
+        self.server = QuotaServer(name, slack)
         self._links = links
         self._ingress_task = ingress_task
         self._owner_task = owner_task
         self._known = known
-        self._on_seats = on_seats
+        self._on_servers = on_servers
         self._loop = asyncio.get_running_loop()
         self._hosts: frozenset[str] = frozenset()
         self._task: asyncio.Task[None] | None = None
@@ -52,7 +52,7 @@
     def adopt(self) -> None:
         """Take over the customers of the configuration that the ingress has in force."""
         customers = self._ingress_task.ingress.intake.customers
-        self.keeper.adopt(self._loop.time(), customers)
+        self.server.adopt(self._loop.time(), customers)
         if customers.has_limited and self._task is None:
             logger.info("quotas are kept: {} customers", len(list(customers.customers())))
             self._task = self._loop.create_task(self._look())
@@ -60,7 +60,7 @@
             logger.info("quotas are not kept any more")
             self.close()
             self._hosts = frozenset()
-            self._on_seats(self._hosts)
+            self._on_servers(self._hosts)
 
     def close(self) -> None:
         """Stop."""
@@ -68,10 +68,10 @@
             self._task.cancel()
             self._task = None
 
-    def asked(self, link: int, ask: CreditAsk) -> None:
+    def on_ask(self, link: int, ask: CreditAsk) -> None:
         """Answer an ingress that asks for credit."""
         host = self._owner_task.owner.peer_name(link)
-        credit = self.keeper.on_ask(self._loop.time(), host, ask)
+        credit = self.server.on_ask(self._loop.time(), host, ask)
         if ask["elsewhere"]:
             logger.info("host {} asks another keeper of quotas: no answer came in time", host)
             return
@@ -81,7 +81,7 @@
         """Return how much is left of the quotas that are kept here, the most used up first."""
         customers = self._ingress_task.ingress.intake.customers
         rows: list[dict[str, Any]] = []
-        for name, left in self.keeper.levels().items():
+        for name, left in self.server.levels().items():
             customer = customers.named(name)
             if customer is None:
                 continue
@@ -94,9 +94,9 @@
         book = self._ingress_task.ingress.gate.credits
         return {
             "asked": book.asks,
-            "denied": self.keeper.denied,
+            "denied": self.server.denied,
             "late": book.late,
-            "lent": self.keeper.granted_total,
+            "lent": self.server.granted_total,
             "unanswered": book.unanswered,
         }
 
@@ -105,13 +105,13 @@
     async def _look(self) -> None:
         while True:
             self._see()
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     def _see(self) -> None:
         """Take over which hosts there are now."""
         hosts = frozenset((self.name, *self._known()))
         connected = {name for _, name in self._owner_task.ingresses()}
-        self.keeper.update_hosts(self._loop.time(), Hosts(hosts, connected, self._links.open()))
+        self.server.update_hosts(self._loop.time(), Hosts(hosts, connected, self._links.open()))
         if hosts != self._hosts:
             self._hosts = hosts
             self._place(hosts)
@@ -122,4 +122,4 @@
         placed = frozenset(quota_server_candidates(hosts))
         keeps = "keeps" if self.name in placed else "does not keep"
         logger.info("quotas are kept by {} hosts; this one {} some", len(placed), keeps)
-        self._on_seats(placed)
+        self._on_servers(placed)
--- a/foldhoist/daemon/versions_task.py
+++ b/foldhoist/daemon/versions_task.py
@@ -29,23 +29,23 @@
     from foldhoist.schema.fleet import Fleet
     from foldhoist.schema.messages import Evacuated, Fresh, Member, Versioned
 
-RETRY_FIRST_S = 0.1
+MIN_RETRY_S = 0.1
 """First time from one call to a store that has failed to the next, seconds; it doubles."""
-RETRY_LONGEST_S = 1.0
+MAX_RETRY_S = 1.0
 """Longest such time, seconds; a call that hangs longer is followed by another after the first."""
-ANSWER_FIRST_S = 0.9
+MIN_ANSWER_TIMEOUT_S = 0.9
 """Longest wait for an answer of the store beside the wait for news, seconds."""
-ANSWER_LONGEST_S = 2.0
+MAX_ANSWER_TIMEOUT_S = 2.0
 """The same after it has failed some times: perhaps it is only slow."""
 ANSWER_GROWS = 1.5
 """What that wait is multiplied by each time."""
 LEAST_POLL_SHARE = 0.4
 """Shortest wait for news, as a share of the longest; it is drawn by lot."""
-LOOK_S = 0.2
+CHECK_INTERVAL_S = 0.2
 """Time between two looks at whether this daemon is to read, seconds."""
 LISTED_S = 0.5
 """Longest wait for the list of peers, which says who reads, seconds; the store takes 0.01."""
-ALONE_S = 1.0
+PEER_CONFIGURATION_TIMEOUT_S = 1.0
 """A restarted daemon that no peer has given a configuration for so long reads itself, seconds."""
 ACROSS_S = 0.3
 """Other data centres are told of a new version so much later, seconds: their own readers have
@@ -86,7 +86,7 @@
         rng: Random,
     ) -> None:
         self.count = Counters()
-        self.held = CurrentVersion()
+        self.current = CurrentVersion()
         self.evacuations = Evacuations()
         self.fleet: Fleet | None = None
         self.store_ok = False
@@ -98,7 +98,7 @@
         self._rng = rng
         self._answered_at = float("-inf")
         self._requested_at = float("-inf")
-        self._answer_s = ANSWER_FIRST_S
+        self._answer_s = MIN_ANSWER_TIMEOUT_S
         self._across: asyncio.TimerHandle | None = None
         self._loop = asyncio.get_running_loop()
         self._tasks: list[asyncio.Task[None]] = []
@@ -106,7 +106,7 @@
     def start(self, peers: PeersTask, first: bool) -> None:
         """Start reading and telling; `first` says that nobody has a configuration yet."""
         self._peers = peers
-        self._alone_at = float("inf") if first else self._loop.time() + ALONE_S
+        self._alone_at = float("inf") if first else self._loop.time() + PEER_CONFIGURATION_TIMEOUT_S
         create = self._loop.create_task
         self._tasks = [create(self._read()), create(self._tell()), create(self._ask())]
 
@@ -120,7 +120,7 @@
     @property
     def version(self) -> Version:
         """Return the version in force; number 0 is none."""
-        return self.held.version
+        return self.current.version
 
     def on_versioned(self, name: str, message: Versioned) -> None:
         """Take in a configuration that a peer passed on.
@@ -139,7 +139,7 @@
         evacuated = message.get("evacuated")
         if evacuated is not None and self._hear(evacuated) and not self._peers.is_near(name):
             self._peers.tell("Fresh", self._fresh(wanted=False), near=True)
-        match self.held.reply(message["version"], message["wanted"]):
+        match self.current.reply(message["version"], message["wanted"]):
             case Reply.CONTENT:
                 self._peers.send(name, "Versioned", self.as_message())
             case Reply.REQUEST:
@@ -154,7 +154,7 @@
         lacks_version = member["version"] < self.version.number
         return lacks_version or member.get("evacuated_at", 0) < self.evacuations.at
 
-    def for_newcomer(self, name: str, version: int) -> tuple[str, Versioned | Fresh]:
+    def update_for(self, name: str, version: int) -> tuple[str, Versioned | Fresh]:
         """Return what a peer that is behind is told, as a kind of message and its body.
 
         Content crosses to another data centre only if it is asked for: a restarted daemon would
@@ -183,20 +183,20 @@
         self._peers.send(name, "Fresh", self._fresh(wanted=True))
 
     async def _read(self) -> None:
-        pause = RETRY_FIRST_S
+        pause = MIN_RETRY_S
         await self._until_listed()
         while True:
             if not self._is_reader():
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(CHECK_INTERVAL_S)
                 continue
             began = self._loop.time()
             if await self._read_once():
-                pause = RETRY_FIRST_S
+                pause = MIN_RETRY_S
                 continue
             spent = self._loop.time() - began
-            left = max(RETRY_FIRST_S, pause - spent)
+            left = max(MIN_RETRY_S, pause - spent)
             await asyncio.sleep(left * (0.5 + self._rng.random()))
-            pause = min(RETRY_LONGEST_S, pause * 2)
+            pause = min(MAX_RETRY_S, pause * 2)
 
     async def _until_listed(self) -> None:
         """Wait until it is known who reads: with many daemons it is seldom this one."""
@@ -217,7 +217,7 @@
         if answer.is_error():
             self._failed(answer.error)
             return False
-        self._answer_s = ANSWER_FIRST_S
+        self._answer_s = MIN_ANSWER_TIMEOUT_S
         self._answered_at = self._loop.time()
         self._store_is(True)
         news = answer.ok
@@ -234,7 +234,7 @@
     def _failed(self, fault: StoreFault) -> None:
         self.count.store_errors += 1
         if fault.sent and not self.store_ok:
-            self._answer_s = min(ANSWER_LONGEST_S, self._answer_s * ANSWER_GROWS)
+            self._answer_s = min(MAX_ANSWER_TIMEOUT_S, self._answer_s * ANSWER_GROWS)
         self._store_is(False, fault.what)
 
     def _news_wait_ms(self) -> int:
@@ -272,16 +272,16 @@
             self._on_adopt(self.version, self.fleet)
 
     def _take(self, version: Version) -> bool:
-        if not self.held.wants(version.number):
+        if not self.current.wants(version.number):
             return False
         translated = self._adapter.translate(version)
         if translated.is_error():
-            self.held.mark_unusable(version)
+            self.current.mark_unusable(version)
             self.count.refused += 1
             logger.error("version {} cannot be used: {}", version.number, translated.error)
             return False
         before = self.version.number
-        self.held.adopt(version)
+        self.current.adopt(version)
         self.fleet = with_evacuated(translated.ok, self.evacuations.data_centres)
         self.count.adopted += 1
         logger.info("version {} in force, was {}", version.number, before)
--- a/foldhoist/daemon/waits.py
+++ b/foldhoist/daemon/waits.py
@@ -11,15 +11,15 @@
 
 T = TypeVar("T")
 
-LATE_S = 0.1
+STALL_S = 0.1
 """A timer that fires so much late tells that this process stood still, seconds."""
 GRACE_S = 0.2
 """How long an answer that may have come meanwhile is then waited for, seconds."""
-MOST_GRACES = 20
+MAX_GRACE_PERIODS = 20
 """How often that is done for one wait."""
 
 
-async def attended(step: Awaitable[T], limit_s: float) -> T:
+async def wait_tolerating_stalls(step: Awaitable[T], limit_s: float) -> T:
     """Return the result of a step; raise TimeoutError if it took longer than the limit.
 
     A step that this process could not attend to, since it stood still, gets a short while more. A
@@ -29,11 +29,11 @@
     task = asyncio.ensure_future(step)
     task.add_done_callback(_unheard)
     due = loop.time() + limit_s
-    for _ in range(1 + MOST_GRACES):
+    for _ in range(1 + MAX_GRACE_PERIODS):
         await asyncio.wait({task}, timeout=due - loop.time())
         if task.done():
             return task.result()
-        if loop.time() - due < LATE_S:
+        if loop.time() - due < STALL_S:
             break
         due = loop.time() + GRACE_S
     raise TimeoutError(f"not within {limit_s:g} s")
--- a/tests/adapter/test_path.py
+++ b/tests/adapter/test_path.py
@@ -280,7 +280,7 @@
     ip, _, port = daemon.addresses["callers"].rpartition(":")
     reader, writer = await asyncio.open_connection(ip, int(port))
     stop = asyncio.ensure_future(daemon.drain())
-    await until(lambda: daemon.stopping.begun)
+    await until(lambda: daemon.shutdown.started)
     assert await cluster.ready("a") == 503
     answered = 0
     while True:
--- a/tests/unit/daemon/test_versions_task.py
+++ b/tests/unit/daemon/test_versions_task.py
@@ -13,7 +13,7 @@
 from foldhoist.configlog.versions import ReaderElection, Version
 from foldhoist.daemon import versions_task
 from foldhoist.daemon.ports import News, StoreFault
-from foldhoist.daemon.versions_task import ANSWER_FIRST_S, ANSWER_LONGEST_S, VersionsTask
+from foldhoist.daemon.versions_task import MAX_ANSWER_TIMEOUT_S, MIN_ANSWER_TIMEOUT_S, VersionsTask
 
 if TYPE_CHECKING:
     from expression import Result
@@ -104,8 +104,8 @@
     monkeypatch: pytest.MonkeyPatch, first: bool, reads: bool
 ) -> None:
     """At a first start nobody has one yet, and the readers pass it on when it comes."""
-    monkeypatch.setattr(versions_task, "ALONE_S", 0.0)
-    monkeypatch.setattr(versions_task, "LOOK_S", 0.001)
+    monkeypatch.setattr(versions_task, "PEER_CONFIGURATION_TIMEOUT_S", 0.0)
+    monkeypatch.setattr(versions_task, "CHECK_INTERVAL_S", 0.001)
 
     async def run() -> list[Call]:
         store: Any = ScriptedStore([Ok(FIRST)])
@@ -140,14 +140,14 @@
     assert [call.kind for call in calls[:2]] == ["newest", "news"]
     after = calls[2:5]
     assert [call.wait_ms for call in after] == [0, 0, 0]
-    assert after[0].answer_s == ANSWER_FIRST_S
-    assert after[0].answer_s < after[1].answer_s < after[2].answer_s <= ANSWER_LONGEST_S
+    assert after[0].answer_s == MIN_ANSWER_TIMEOUT_S
+    assert after[0].answer_s < after[1].answer_s < after[2].answer_s <= MAX_ANSWER_TIMEOUT_S
     assert calls[5].wait_ms >= 0.4 * WAIT_MS
-    assert calls[5].answer_s == ANSWER_FIRST_S
+    assert calls[5].answer_s == MIN_ANSWER_TIMEOUT_S
 
 
 def test_a_start_beside_a_silent_store_asks_again_and_again() -> None:
     calls = calls_with([Error(SILENT)] * 3 + [Ok(FIRST)])
     assert [call.kind for call in calls[:4]] == ["newest"] * 4
-    assert calls[0].answer_s == ANSWER_FIRST_S
-    assert calls[3].answer_s == ANSWER_LONGEST_S
+    assert calls[0].answer_s == MIN_ANSWER_TIMEOUT_S
+    assert calls[3].answer_s == MAX_ANSWER_TIMEOUT_S
--- a/tests/unit/daemon/test_waits.py
+++ b/tests/unit/daemon/test_waits.py
@@ -8,7 +8,7 @@
 import pytest
 
 from foldhoist.daemon import waits
-from foldhoist.daemon.waits import LATE_S, attended
+from foldhoist.daemon.waits import STALL_S, wait_tolerating_stalls
 
 LIMIT_S = 0.05
 """Limit of a wait in these tests, seconds."""
@@ -20,7 +20,7 @@
 
 async def answer_after_standstill() -> str:
     """Stand still beyond the limit, then need some turns of the loop, as an answer read does."""
-    time.sleep(LIMIT_S + 2 * LATE_S)
+    time.sleep(LIMIT_S + 2 * STALL_S)
     for _ in range(TURNS):
         await asyncio.sleep(0)
     return "answer"
@@ -30,13 +30,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(waits, "GRACE_S", LONG_S)
-    assert asyncio.run(attended(answer_after_standstill(), LIMIT_S)) == "answer"
+    assert asyncio.run(wait_tolerating_stalls(answer_after_standstill(), LIMIT_S)) == "answer"
 
 
 def test_silence_ends_the_wait() -> None:
     async def run() -> None:
         with pytest.raises(TimeoutError, match="within"):
-            await attended(asyncio.Event().wait(), LIMIT_S)
+            await wait_tolerating_stalls(asyncio.Event().wait(), LIMIT_S)
 
     asyncio.run(run())
 
@@ -46,7 +46,7 @@
         raise ConnectionRefusedError
 
     with pytest.raises(ConnectionRefusedError):
-        asyncio.run(attended(refuse(), LIMIT_S))
+        asyncio.run(wait_tolerating_stalls(refuse(), LIMIT_S))
 
 
 def test_a_step_that_fails_unheard_is_not_reported() -> None:
@@ -61,7 +61,7 @@
         loop.set_exception_handler(lambda _, context: reported.append(context))
         event = asyncio.Event()
         with pytest.raises(TimeoutError):
-            await attended(fail_late(event), LIMIT_S)
+            await wait_tolerating_stalls(fail_late(event), LIMIT_S)
         event.set()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
