--- a/foldhoist/customers/quota_server.py
+++ b/foldhoist/customers/quota_server.py
@@ -65,37 +65,37 @@
 class _AskingHost:
     """Rate and time of a host's requests; times are in the server's active time, seconds."""
 
-    __slots__ = ("asks", "asks_per_s", "at")
+    __slots__ = ("asks", "asks_per_s", "last_ask_at")
 
     def __init__(self, at: float) -> None:
-        self.at = at
+        self.last_ask_at = at
         self.asks_per_s = 0.0
         self.asks = DecayingRatio(at, ASKS_DECAY_S)
 
     def count_ask(self, at: float) -> float:
         """Count a request; returns the time since the one before it, seconds."""
-        gap_s = at - self.at
-        self.at = at
+        gap_s = at - self.last_ask_at
+        self.last_ask_at = at
         self.asks_per_s = self.asks.total(at) / ASKS_DECAY_S
         self.asks.count(at, 0.0)
         return gap_s
 
     def is_silent(self, at: float) -> bool:
         """Return whether expected requests are missing."""
-        silence_s = at - self.at
+        silence_s = at - self.last_ask_at
         if not MIN_SILENCE_S < silence_s <= MAX_SILENCE_S:
             return False
         return silence_s * self.asks_per_s > MISSED_ASKS
 
 
 class _Bucket:
-    """One customer's credit; `at` is the last refill in the server's active time, seconds."""
+    """One customer's credit; `refilled_at` is in the server's active time, seconds."""
 
-    __slots__ = ("asking_hosts", "at", "denials", "level", "primary", "rate_share")
+    __slots__ = ("asking_hosts", "denials", "level", "primary", "rate_share", "refilled_at")
 
     def __init__(self, level: float, at: float, primary: bool) -> None:
         self.level = level
-        self.at = at
+        self.refilled_at = at
         self.primary = primary
         self.rate_share = 0.0
         self.asking_hosts: dict[str, _AskingHost] = {}
@@ -215,8 +215,8 @@
                 del self._buckets[name]
 
     def _refill(self, at: float, customer: Customer, bucket: _Bucket) -> None:
-        gained = customer.rate_per_s * bucket.rate_share * (at - bucket.at)
-        bucket.at = at
+        gained = customer.rate_per_s * bucket.rate_share * (at - bucket.refilled_at)
+        bucket.refilled_at = at
         bucket.level = min(customer.max_credit, bucket.level + gained)
         primary = customer.name in self._primary_for
         if primary and not bucket.primary:
@@ -247,7 +247,7 @@
         Hosts without requests for `MAX_SILENCE_S` are removed from the asking hosts.
         """
         for host, asking in list(bucket.asking_hosts.items()):
-            if at - asking.at > MAX_SILENCE_S:
+            if at - asking.last_ask_at > MAX_SILENCE_S:
                 del bucket.asking_hosts[host]
         if not bucket.primary:
             return 0.0
