--- a/foldhoist/daemon/store_client.py
+++ b/foldhoist/daemon/store_client.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from tornado.httpclient import HTTPRequest
 
-DEFAULT_TIMEOUT_S = 2.0
+TIMEOUT_S = 2.0
 """Longest wait for an answer of the store, seconds."""
 ABANDONED_CALL_S = 5.0
 """The HTTP client closes a connection so long after nobody waits for its answer, seconds."""
@@ -26,7 +26,7 @@
         self._http = AsyncHTTPClient(force_instance=True)
 
     async def fetch(
-        self, req: HTTPRequest, limit_s: float = DEFAULT_TIMEOUT_S
+        self, req: HTTPRequest, limit_s: float = TIMEOUT_S
     ) -> Result[bytes, StoreFault]:
         """Return the body of an answer, or why there is none."""
         req.connect_timeout = req.request_timeout = limit_s + ABANDONED_CALL_S
