--- a/bench/stages.py
+++ b/bench/stages.py
@@ -89,7 +89,7 @@
         self.conn.send(kind, body)
         return True
 
-    def want(self, names: Any) -> None:
+    def connect(self, names: Any) -> None:
         return
 
 
--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -125,7 +125,7 @@
             self.ingress_task,
             self.owner_task,
             lambda: self._targets,
-            lambda hosts: self.links.want(hosts - {self.name}),
+            lambda hosts: self.links.connect(hosts - {self.name}),
         )
         await self._listen()
         self.control = Control(cfg["listen"]["control"], cfg["measuring"], self._on_control)
@@ -244,7 +244,7 @@
         if self.name in names or mine is not None:
             self.ingress_task.local_up(self.incarnation)
         if len(names) <= EAGER_LINKS:
-            self.links.want(sorted(names - {self.name}))
+            self.links.connect(sorted(names - {self.name}))
 
     def _adopt_as_owner(self, state: State, fleet: Fleet) -> None:
         target = fleet["targets"][self.name]
--- a/foldhoist/daemon/figures.py
+++ b/foldhoist/daemon/figures.py
@@ -34,7 +34,7 @@
         "ingress_calls": ingress_task.ingress.calls,
         "owner_busy": owner.queue.busy,
         "owner_queued": owner.queue.queued,
-        "links": len(links.open()),
+        "links": len(links.connected()),
         "caller_connections": len(shared.open),
         "upstream_connections": owner_task.pool.open,
         "leaving": float(owner.leaving),
--- a/foldhoist/daemon/ingress_task.py
+++ b/foldhoist/daemon/ingress_task.py
@@ -127,7 +127,7 @@
                         conn.answer(verdict, trace_id(record.trace))
                     self._ended(record)
                 case Connect(targets):
-                    self._links.want(name for name in targets if name != self._name)
+                    self._links.connect(name for name in targets if name != self._name)
         self._set_timer()
 
     def _send(self, target: str, kind: str, body: Any) -> None:
--- a/foldhoist/daemon/links.py
+++ b/foldhoist/daemon/links.py
@@ -15,13 +15,13 @@
 
     from foldhoist.schema.messages import Hello
 
-RETRY_FIRST_S = 0.02
+MIN_RETRY_S = 0.02
 """First pause before a connection is tried again, seconds; it doubles each time."""
-RETRY_LONGEST_S = 0.5
+MAX_RETRY_S = 0.5
 """Longest pause before a connection is tried again, seconds."""
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 """Longest wait for a connection and its first message, seconds."""
-SHOWN_S = 0.1
+RETRY_NOW_TIMEOUT_S = 0.1
 """Longest such wait once the peer has shown that it is there, seconds.
 
 A host without power swallows the first packet of a connection, which is sent again after a second
@@ -30,7 +30,7 @@
 """
 
 
-UNWANTED_S = 10.0
+UNWANTED_CLOSE_S = 10.0
 """A link that nobody wants is closed after this, seconds: longer than calls usually take."""
 
 
@@ -80,12 +80,12 @@
         self._conn.send(kind, body)
         return True
 
-    def hurry(self) -> None:
+    def retry_now(self) -> None:
         """Try again at once, also if a try hangs: the peer has shown that it is there."""
         self._hurry.set()
         if self._patience is not None:
             now = asyncio.get_running_loop().time()
-            self._patience.reschedule(max(now, self._began + SHOWN_S))
+            self._patience.reschedule(max(now, self._began + RETRY_NOW_TIMEOUT_S))
 
     def close(self) -> None:
         """Close for good."""
@@ -94,17 +94,17 @@
             self._conn.close()
 
     async def _keep_up(self) -> None:
-        pause = RETRY_FIRST_S
+        pause = MIN_RETRY_S
         while True:
             if await self._connect():
-                pause = RETRY_FIRST_S
+                pause = MIN_RETRY_S
                 await self._fell.wait()
                 continue
             self._hurry.clear()
             with suppress(TimeoutError):
                 async with asyncio.timeout(pause * (0.5 + self._rng.random())):
                     await self._hurry.wait()
-            pause = min(RETRY_LONGEST_S, pause * 2)
+            pause = min(MAX_RETRY_S, pause * 2)
 
     async def _connect(self) -> bool:
         host, _, port = self.address.rpartition(":")
@@ -113,7 +113,7 @@
         loop = asyncio.get_running_loop()
         self._began = loop.time()
         try:
-            async with asyncio.timeout(CONNECT_S) as self._patience:
+            async with asyncio.timeout(CONNECT_TIMEOUT_S) as self._patience:
                 _, conn = await loop.create_connection(
                     lambda: FrameConnection(self._limit, self._message, self._lost), host, int(port)
                 )
@@ -184,7 +184,7 @@
                 continue
             self._close(name, link)
 
-    def want(self, names: Iterable[str]) -> None:
+    def connect(self, names: Iterable[str]) -> None:
         """Open the links that are not there yet."""
         for name in names:
             address = self._addresses.get(name)
@@ -193,21 +193,23 @@
             link = Link(name, address, self._hello, self._limit, self._events, self._rng)
             self._links[name] = link
 
-    def place(self, name: str, address: str) -> None:
+    def set_address(self, name: str, address: str) -> None:
         """Take over the address of one owner; a link to another address is closed."""
         self._addresses[name] = address
         link = self._links.get(name)
         if link is not None and link.address != address:
             self._close(name, link)
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Close the link to an owner that is gone."""
         self._addresses.pop(name, None)
         link = self._links.get(name)
         if link is not None:
             self._close(name, link)
 
-    def keep(self, wanted: Container[str], now: float, is_busy: Callable[[str], bool]) -> list[str]:
+    def close_unwanted(
+        self, wanted: Container[str], now: float, is_busy: Callable[[str], bool]
+    ) -> list[str]:
         """Close the links that have not been wanted for long and carry no call; return their names.
 
         What was wanted a moment ago may be again, and an answer may still be on its way.
@@ -219,7 +221,7 @@
                 continue
             if link.unwanted_since is None:
                 link.unwanted_since = now
-            if now - link.unwanted_since < UNWANTED_S or is_busy(name):
+            if now - link.unwanted_since < UNWANTED_CLOSE_S or is_busy(name):
                 continue
             self._close(name, link)
             closed.append(name)
@@ -230,18 +232,18 @@
         link = self._links.get(name)
         return link is not None and link.up
 
-    def hurry(self, name: str) -> None:
+    def retry_now(self, name: str) -> None:
         """Try again at once to reach this owner, if its link is down."""
         link = self._links.get(name)
         if link is not None and not link.up:
-            link.hurry()
+            link.retry_now()
 
     def send(self, name: str, kind: str, body: Mapping[str, Any]) -> bool:
         """Write a message to an owner; returns False if its link is down."""
         link = self._links.get(name)
         return link is not None and link.send(kind, body)
 
-    def open(self) -> list[str]:
+    def connected(self) -> list[str]:
         """Return the names of the owners that are connected."""
         return [name for name, link in self._links.items() if link.up]
 
--- a/foldhoist/daemon/peers_task.py
+++ b/foldhoist/daemon/peers_task.py
@@ -106,7 +106,7 @@
     def told(self, member: Member) -> None:
         """Take in what a peer tells of itself."""
         self.carry_out(self.registry.update_member(self._loop.time(), member))
-        self._links.hurry(member["name"])
+        self._links.retry_now(member["name"])
 
     def roster(self, message: Roster) -> None:
         """Take in what a peer knows of daemons; pass it on in this data centre if it says so."""
@@ -145,10 +145,10 @@
             match action:
                 case Connect(name, frames):
                     logger.debug("peer {} at {}", name, frames)
-                    self._links.place(name, frames)
+                    self._links.set_address(name, frames)
                 case Disconnect(name):
                     logger.info("peer {} forgotten", name)
-                    self._links.forget(name)
+                    self._links.remove(name)
                 case UpstreamChanged(name):
                     changed.append(name)
         if changed:
@@ -168,7 +168,7 @@
 
     def tell(self, kind: str, body: Any, near: bool | None = None) -> None:
         """Write a message to connected peers; `near` for those of this data centre or of others."""
-        for name in self._links.open():
+        for name in self._links.connected():
             if near is not None and self.is_near(name) != near:
                 continue
             self._links.send(name, kind, body)
@@ -179,7 +179,7 @@
         These note the leavings that it names. Where nobody is near, all connected peers do.
         """
         self._change += 1
-        names = self._links.open()
+        names = self._links.connected()
         told = {name for name in names if self.is_near(name)} or set(names)
         for name in told:
             self._tell_member(name)
@@ -209,7 +209,7 @@
 
     def ask_someone(self, kind: str, body: Any) -> None:
         """Write a message to one connected peer, drawn by lot."""
-        names = self._links.open()
+        names = self._links.connected()
         if names:
             self._links.send(names[int(self._rng.random() * len(names))], kind, body)
 
@@ -337,7 +337,7 @@
         for name in self._wanted:
             if not self._links.is_up(name):
                 self.registry.set_connected(now, name, False)
-        self._links.want(self._wanted)
+        self._links.connect(self._wanted)
         self._on_rewired()
 
     async def _look(self) -> None:
@@ -346,11 +346,11 @@
             await asyncio.sleep(LOOK_S)
             self._rewire()
             now = self._loop.time()
-            for name in self._links.keep(self._wanted, now, self._is_busy):
+            for name in self._links.close_unwanted(self._wanted, now, self._is_busy):
                 self.registry.stop_connecting(now, name)
 
     async def _expire(self) -> None:
         while True:
             await asyncio.sleep(EXPIRE_S)
-            connected = set(self._links.open())
+            connected = set(self._links.connected())
             self.carry_out(self.registry.expire(self._loop.time(), connected))
--- a/foldhoist/daemon/quota_task.py
+++ b/foldhoist/daemon/quota_task.py
@@ -111,7 +111,9 @@
         """Take over which hosts there are now."""
         hosts = frozenset((self.name, *self._known()))
         connected = {name for _, name in self._owner_task.ingresses()}
-        self.keeper.update_hosts(self._loop.time(), Hosts(hosts, connected, self._links.open()))
+        self.keeper.update_hosts(
+            self._loop.time(), Hosts(hosts, connected, self._links.connected())
+        )
         if hosts != self._hosts:
             self._hosts = hosts
             self._place(hosts)
--- a/tests/adapter/cluster.py
+++ b/tests/adapter/cluster.py
@@ -143,7 +143,7 @@
         told = [p for p in daemon.registry.peers.values() if p.upstream and p.upstream["instance"]]
         return (
             daemon.versions.version.number >= version
-            and len(daemon.links.open()) >= len(running) - 1
+            and len(daemon.links.connected()) >= len(running) - 1
             and len(told) >= len(running) - 1
         )
 
--- a/tests/adapter/test_neighbours.py
+++ b/tests/adapter/test_neighbours.py
@@ -51,7 +51,7 @@
             await started(cluster, 3)
             await cluster.add("two9", data_centre="two")
             await until(lambda: everyone_knows(cluster))
-            links = [len(daemon.links.open()) for daemon in cluster.daemons.values()]
+            links = [len(daemon.links.connected()) for daemon in cluster.daemons.values()]
             assert max(links) < len(cluster.daemons) - 1
             for name in cluster.daemons:
                 assert (await cluster.ask(name)).status == 200
@@ -110,14 +110,14 @@
 def test_a_link_that_nobody_wants_is_closed_when_it_carries_no_call(
     monkeypatch: pytest.MonkeyPatch, few: None
 ) -> None:
-    monkeypatch.setattr("foldhoist.daemon.links.UNWANTED_S", 0.0)
+    monkeypatch.setattr("foldhoist.daemon.links.UNWANTED_CLOSE_S", 0.0)
 
     async def run() -> None:
         async with Cluster() as cluster:
             await started(cluster, 2)
             daemon = cluster.daemons["one0"]
             extra = next(n for n in daemon.registry.peers if n not in daemon.registry.wanted(0.0))
-            daemon.links.want([extra])
+            daemon.links.connect([extra])
             await until(lambda: daemon.links.is_up(extra))
             await until(lambda: not daemon.links.is_up(extra))
             assert extra in daemon.registry.peers
--- a/tests/unit/daemon/test_links.py
+++ b/tests/unit/daemon/test_links.py
@@ -50,7 +50,7 @@
 def test_a_try_that_hangs_ends_when_the_peer_has_shown_itself(
     monkeypatch: pytest.MonkeyPatch, shown: bool
 ) -> None:
-    monkeypatch.setattr(links_module, "CONNECT_S", 10 * WAIT_S if shown else 0.05)
+    monkeypatch.setattr(links_module, "CONNECT_TIMEOUT_S", 10 * WAIT_S if shown else 0.05)
     up: list[str] = []
 
     async def run() -> None:
@@ -63,10 +63,10 @@
         )
         links = Links({**HELLO, "name": "a"}, 1 << 20, events, random.Random(1))
         links.adopt({"b": await peer.start()})
-        links.want(["b"])
+        links.connect(["b"])
         await until(lambda: peer.connections == 1)
         if shown:
-            links.hurry("b")
+            links.retry_now("b")
         await until(lambda: up == ["b"])
         assert peer.connections >= 2
         links.close()
