--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -345,7 +345,7 @@
     def _on_seats(self, hosts: frozenset[str]) -> None:
         """Keep connections to the hosts that keep quotas."""
         self.registry.quota_servers = hosts
-        self.peers.rewire_soon()
+        self.peers.schedule_link_update()
 
     def _on_rewired(self) -> None:
         self.readers.set_peers([self.name, *self.registry.neighbours.local_daemons()])
@@ -360,7 +360,7 @@
 
     def _tell_all(self) -> None:
         """Tell what this daemon is now to its data centre, and to all that may call it."""
-        told = self.peers.tell_near()
+        told = self.peers.report_to_data_centre()
         for link, name in self.owner_task.ingresses():
             if name not in told:
                 self.messages.tell(link, name)
@@ -370,12 +370,12 @@
             self.peers.announce()
 
     def _on_link_up(self, name: str, incarnation: str) -> None:
-        self.peers.linked(name)
+        self.peers.on_link_up(name)
         self.ingress_task.link_up(name, incarnation)
         self._tell_link(name, "up")
 
     def _on_link_lost(self, name: str) -> None:
-        self.peers.lost(name)
+        self.peers.on_link_lost(name)
         self.ingress_task.link_lost(name)
         self._tell_link(name, "lost")
 
--- a/foldhoist/daemon/peer_messages.py
+++ b/foldhoist/daemon/peer_messages.py
@@ -24,7 +24,7 @@
         daemon.registry.record_contact(asyncio.get_running_loop().time(), name)
         match kind:
             case "Member":
-                daemon.peers.told(body)
+                daemon.peers.update_member(body)
                 ended = daemon.registry.ended_incarnations(name)
                 if ended is not None:
                     daemon.links.send(name, "Remembered", {"ended": ended})
@@ -37,7 +37,7 @@
             case "Fresh":
                 daemon.versions.on_fresh(name, body)
             case "Roster":
-                daemon.peers.roster(body)
+                daemon.peers.on_roster(body)
             case _:
                 daemon.ingress_task.message(name, kind, body)
 
@@ -54,9 +54,9 @@
             case "Crashes":
                 self._crashes(body)
             case "Roster":
-                daemon.peers.roster(body)
+                daemon.peers.on_roster(body)
                 if body["wanted"]:
-                    daemon.owner_task.reply(link, "Roster", daemon.peers.all_rows())
+                    daemon.owner_task.reply(link, "Roster", daemon.peers.full_roster())
             case "CreditAsk":
                 daemon.quotas.asked(link, body)
             case "Fresh":
@@ -66,18 +66,18 @@
 
     def spread(self, suspects: list[Suspect]) -> None:
         """Have the other data centres hear of calls that end upstreams."""
-        self._daemon.peers.tell_relays("Crashes", {"suspects": suspects, "spread": True})
+        self._daemon.peers.send_to_relays("Crashes", {"suspects": suspects, "spread": True})
 
     def held(self, calls: list[str]) -> None:
         """Have the store keep what this daemon has seen of calls that are refused from now on."""
         daemon = self._daemon
         if any(daemon.quarantine.is_own(call) for call in calls):
-            daemon.peers.write_again()
+            daemon.peers.rewrite_record()
 
     def tell(self, link: int, name: str) -> None:
         """Tell a peer what this daemon is now, on the connection that the peer opened."""
         self._daemon.owner_task.reply(link, "Member", self._daemon.describe())
-        self._daemon.peers.note_told(name)
+        self._daemon.peers.record_reported(name)
 
     # Steps
 
@@ -87,19 +87,19 @@
         daemon.owner_task.learn_crashes(message["suspects"])
         if message["spread"]:
             passed_on: Crashes = {**message, "spread": False}
-            daemon.peers.tell("Crashes", passed_on, near=True)
+            daemon.peers.broadcast("Crashes", passed_on, local=True)
 
     def _member(self, link: int, member: Member) -> None:
         daemon = self._daemon
         known = daemon.registry.peers.get(member["name"])
         is_new = known is None or known.incarnation != member["incarnation"]
-        daemon.peers.told(member)
+        daemon.peers.update_member(member)
         reply = daemon.owner_task.reply
         ended = daemon.registry.ended_incarnations(member["name"])
         if ended is not None:
             reply(link, "Remembered", {"ended": ended})
         # It may have been told on a connection of this daemon's, before something changed.
-        if is_new or not daemon.peers.is_told(member["name"]):
+        if is_new or not daemon.peers.has_latest_report(member["name"]):
             self.tell(link, member["name"])
         reply(link, "Noted", {"ended": member["ended"]})
         if daemon.versions.is_behind(member):
--- a/foldhoist/daemon/peers_task.py
+++ b/foldhoist/daemon/peers_task.py
@@ -103,12 +103,12 @@
             if handle is not None:
                 handle.cancel()
 
-    def told(self, member: Member) -> None:
+    def update_member(self, member: Member) -> None:
         """Take in what a peer tells of itself."""
         self.carry_out(self.registry.update_member(self._loop.time(), member))
         self._links.retry_now(member["name"])
 
-    def roster(self, message: Roster) -> None:
+    def on_roster(self, message: Roster) -> None:
         """Take in what a peer knows of daemons; pass it on in this data centre if it says so."""
         self.carry_out(self.registry.add_relayed(self._loop.time(), message["rows"]))
         if not message["spread"]:
@@ -117,11 +117,11 @@
         if self._telling is None:
             self._telling = self._loop.call_later(GATHER_S, self._pass_on)
 
-    def all_rows(self) -> Roster:
+    def full_roster(self) -> Roster:
         """Return all that is known of daemons, this one included."""
         return {"rows": [*self.registry.rows(), self._own_row()], "spread": False, "wanted": False}
 
-    def linked(self, name: str) -> None:
+    def on_link_up(self, name: str) -> None:
         """Take in that a peer was reached: tell it who this is, and ask it for all it knows."""
         self.registry.set_connected(self._loop.time(), name, True)
         self._tell_member(name)
@@ -131,7 +131,7 @@
             self._left_to_ask -= 1
             self._links.send(name, "Roster", {"rows": [], "spread": False, "wanted": True})
 
-    def lost(self, name: str) -> None:
+    def on_link_lost(self, name: str) -> None:
         """Take in that the connection to a peer fell, perhaps with what it was told last."""
         self._told.pop(name, None)
         self.registry.set_connected(self._loop.time(), name, False)
@@ -154,9 +154,9 @@
         if changed:
             self._on_change(changed)
         # Many actions of one turn of the loop, as when all hosts start, are followed once.
-        self.rewire_soon()
+        self.schedule_link_update()
 
-    def is_near(self, name: str) -> bool:
+    def is_local(self, name: str) -> bool:
         """Return whether a peer is of this data centre."""
         peer = self.registry.peers.get(name)
         return peer is not None and peer.data_centre == self.registry.data_centre
@@ -166,58 +166,58 @@
         if not self._links.send(name, kind, body):
             self._send_back(name, kind, body)
 
-    def tell(self, kind: str, body: Any, near: bool | None = None) -> None:
-        """Write a message to connected peers; `near` for those of this data centre or of others."""
+    def broadcast(self, kind: str, body: Any, local: bool | None = None) -> None:
+        """Write a message to connected peers; `local` for those of this data centre or of others."""
         for name in self._links.connected():
-            if near is not None and self.is_near(name) != near:
+            if local is not None and self.is_local(name) != local:
                 continue
             self._links.send(name, kind, body)
 
-    def tell_near(self) -> set[str]:
+    def report_to_data_centre(self) -> set[str]:
         """Tell the data centre what this daemon is now; returns who was told.
 
         These note the leavings that it names. Where nobody is near, all connected peers do.
         """
         self._change += 1
         names = self._links.connected()
-        told = {name for name in names if self.is_near(name)} or set(names)
+        told = {name for name in names if self.is_local(name)} or set(names)
         for name in told:
             self._tell_member(name)
         return told
 
-    def is_told(self, name: str) -> bool:
+    def has_latest_report(self, name: str) -> bool:
         """Return whether a peer was told what this daemon is now."""
         return self._told.get(name) == self._change
 
-    def note_told(self, name: str) -> None:
+    def record_reported(self, name: str) -> None:
         """Take in that a peer was told it on its own connection."""
         self._told[name] = self._change
 
-    def rewire_soon(self) -> None:
+    def schedule_link_update(self) -> None:
         """Look once more, in this turn of the loop, at which connections are wanted."""
         if self._rewiring is None:
             self._rewiring = self._loop.call_soon(self._rewire)
 
     def announce(self) -> None:
         """Have every data centre told where this daemon listens and what its upstream serves."""
-        self.tell_relays("Roster", self._own_news())
+        self.send_to_relays("Roster", self._own_news())
 
-    def tell_relays(self, kind: str, body: Any) -> None:
+    def send_to_relays(self, kind: str, body: Any) -> None:
         """Write a message to the peers that pass news on in other data centres."""
         for name in self.registry.neighbours.relays():
             self._links.send(name, kind, body)
 
-    def ask_someone(self, kind: str, body: Any) -> None:
+    def send_to_random(self, kind: str, body: Any) -> None:
         """Write a message to one connected peer, drawn by lot."""
         names = self._links.connected()
         if names:
             self._links.send(names[int(self._rng.random() * len(names))], kind, body)
 
-    def write_again(self) -> None:
+    def rewrite_record(self) -> None:
         """Write the record of this daemon to the store anew, as often as it takes."""
-        self._tasks.append(self._loop.create_task(self._until_done(self.store_ended)))
+        self._tasks.append(self._loop.create_task(self._until_done(self.write_record)))
 
-    async def store_ended(self) -> bool:
+    async def write_record(self) -> bool:
         """Write what has to outlast this life to the store; returns whether that was done.
 
         These are the ended lives of the upstream, and the calls under which it ended. The record of
@@ -233,7 +233,7 @@
 
     def _tell_member(self, name: str) -> None:
         if self._links.send(name, "Member", self._describe()):
-            self.note_told(name)
+            self.record_reported(name)
 
     async def _join(self, first: bool) -> None:
         """Write before the last read: of two that start at once, at least one sees the other.
@@ -246,7 +246,7 @@
             await self._until_done(self._list)
             if self._still_holds():
                 return
-        await self._until_done(self.store_ended)
+        await self._until_done(self.write_record)
         await self._until_done(self._list)
 
     def _still_holds(self) -> bool:
@@ -325,7 +325,7 @@
         self._telling = None
         rows = list(self._news.values())
         self._news.clear()
-        self.tell("Roster", {"rows": rows, "spread": False, "wanted": False}, near=True)
+        self.broadcast("Roster", {"rows": rows, "spread": False, "wanted": False}, local=True)
 
     def _rewire(self) -> None:
         """Open the connections that are wanted now, and note which are not any more."""
--- a/foldhoist/daemon/upstream_task.py
+++ b/foldhoist/daemon/upstream_task.py
@@ -246,7 +246,7 @@
     async def _store(self, event: asyncio.Event) -> None:
         """Write the leaving to the store, again and again until that is done."""
         pause = WRITE_AGAIN_S
-        while not await self._peers.store_ended():
+        while not await self._peers.write_record():
             await asyncio.sleep(pause)
             pause = min(WRITE_LONGEST_S, pause * 2)
         event.set()
--- a/foldhoist/daemon/versions_task.py
+++ b/foldhoist/daemon/versions_task.py
@@ -130,15 +130,15 @@
         evacuated = message.get("evacuated")
         heard = evacuated is not None and self._hear(evacuated)
         taken = self._take(Version(message["version"], message["content"]))
-        if (taken or heard) and not self._peers.is_near(name):
-            self._peers.tell("Fresh", self._fresh(wanted=False), near=True)
+        if (taken or heard) and not self._peers.is_local(name):
+            self._peers.broadcast("Fresh", self._fresh(wanted=False), local=True)
 
     def on_fresh(self, name: str, message: Fresh) -> None:
         """Take in what a peer holds, and how recently the store answered it."""
         self._readers.on_report(self._loop.time(), name, message["age_ms"] / 1000)
         evacuated = message.get("evacuated")
-        if evacuated is not None and self._hear(evacuated) and not self._peers.is_near(name):
-            self._peers.tell("Fresh", self._fresh(wanted=False), near=True)
+        if evacuated is not None and self._hear(evacuated) and not self._peers.is_local(name):
+            self._peers.broadcast("Fresh", self._fresh(wanted=False), local=True)
         match self.held.reply(message["version"], message["wanted"]):
             case Reply.CONTENT:
                 self._peers.send(name, "Versioned", self.as_message())
@@ -160,7 +160,7 @@
         Content crosses to another data centre only if it is asked for: a restarted daemon would
         else get it from each of its peers.
         """
-        if version < self.version.number and self._peers.is_near(name):
+        if version < self.version.number and self._peers.is_local(name):
             return "Versioned", self.as_message()
         return "Fresh", self._fresh(wanted=False)
 
@@ -223,7 +223,7 @@
         news = answer.ok
         if self.evacuations.apply_stored(news.evacuations):
             self._evacuated()
-            self._peers.tell("Fresh", self._fresh(wanted=False), near=True)
+            self._peers.broadcast("Fresh", self._fresh(wanted=False), local=True)
             self._pass_across()
         if news.version is None:
             return self.fleet is not None
@@ -254,7 +254,7 @@
         self.store_ok = ok
         logger.info("store {}", "answers" if ok else f"does not answer: {what}")
         if not ok:
-            self._peers.tell("Fresh", self._fresh(wanted=False), near=True)
+            self._peers.broadcast("Fresh", self._fresh(wanted=False), local=True)
 
     def _hear(self, evacuated: Evacuated) -> bool:
         """Take in what a peer holds; returns whether other data centres are evacuated now."""
@@ -291,7 +291,7 @@
     def _pass_on(self) -> None:
         """Give the data centre the content, and the others word of it: they ask if they lack it."""
         self.count.passed_on += 1
-        self._peers.tell("Versioned", self.as_message(), near=True)
+        self._peers.broadcast("Versioned", self.as_message(), local=True)
         self._pass_across()
 
     def _pass_across(self) -> None:
@@ -300,13 +300,13 @@
 
     def _tell_across(self) -> None:
         self._across = None
-        self._peers.tell("Fresh", self._fresh(wanted=False), near=False)
+        self._peers.broadcast("Fresh", self._fresh(wanted=False), local=False)
 
     async def _tell(self) -> None:
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
             if self.store_ok and self._readers.should_read(self._loop.time()):
-                self._peers.tell("Fresh", self._fresh(wanted=False), near=True)
+                self._peers.broadcast("Fresh", self._fresh(wanted=False), local=True)
 
     async def _ask(self) -> None:
         """While the store does not answer, ask any peer what it holds."""
@@ -315,7 +315,7 @@
             if self.store_ok or not self._readers.should_read(self._loop.time()):
                 continue
             self.count.asked += 1
-            self._peers.ask_someone("Fresh", self._fresh(wanted=True))
+            self._peers.send_to_random("Fresh", self._fresh(wanted=True))
 
     def _fresh(self, wanted: bool) -> Fresh:
         age_ms = NO_ANSWER_AGE_MS
--- a/tests/unit/daemon/test_peer_messages.py
+++ b/tests/unit/daemon/test_peer_messages.py
@@ -20,9 +20,9 @@
         self.versions = SimpleNamespace(is_behind=lambda member: False)
         self.owner_task = SimpleNamespace(reply=lambda link, kind, body: self.replies.append(kind))
         self.peers = SimpleNamespace(
-            told=lambda member: None,
-            is_told=lambda name: name in self.now_told,
-            note_told=self.now_told.add,
+            update_member=lambda member: None,
+            has_latest_report=lambda name: name in self.now_told,
+            record_reported=self.now_told.add,
         )
 
     def describe(self) -> dict[str, str]:
--- a/tests/unit/daemon/test_upstream_task.py
+++ b/tests/unit/daemon/test_upstream_task.py
@@ -48,7 +48,7 @@
         self.fails = 0
         self.writes = 0
 
-    async def store_ended(self) -> bool:
+    async def write_record(self) -> bool:
         """Write, or fail."""
         self.writes += 1
         if self.fails:
--- a/tests/unit/daemon/test_versions_task.py
+++ b/tests/unit/daemon/test_versions_task.py
@@ -74,10 +74,10 @@
         self.listed = asyncio.Event()
         self.listed.set()
 
-    def tell(self, kind: str, body: Any, near: bool | None = None) -> None:
+    def broadcast(self, kind: str, body: Any, local: bool | None = None) -> None:
         """Tell nobody."""
 
-    def ask_someone(self, kind: str, body: Any) -> None:
+    def send_to_random(self, kind: str, body: Any) -> None:
         """Ask nobody."""
 
 
