--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -164,7 +164,7 @@
         await self._wait_until(lambda: all(conn.idle for conn in self.shared.open), limit)
         for conn in list(self.shared.open):
             conn.close()
-        await self.owner_task.part(limit)
+        await self.owner_task.send_goaway(limit)
         await asyncio.sleep(REPLY_GRACE_S)
         await self.stop()
 
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -245,8 +245,8 @@
         )
         self.ingress_task.on_ended = self._ended
         self.owner_task.on_refused = self._refused
-        self.owner_task.on_spread = self.messages.spread
-        self.owner_task.on_held = self.messages.held
+        self.owner_task.on_suspects = self.messages.spread
+        self.owner_task.on_quarantined = self.messages.held
         self.ingress_task.connect(self.name, self.links, self.owner_task)
         self.quotas = QuotaTask(
             self.name,
--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -71,8 +71,8 @@
         self.began = asyncio.get_running_loop().time()
         self._on_peer = on_peer
         self.on_refused: Callable[[Refused], None] | None = None
-        self.on_spread: Callable[[list[Suspect]], None] | None = None
-        self.on_held: Callable[[list[str]], None] | None = None
+        self.on_suspects: Callable[[list[Suspect]], None] | None = None
+        self.on_quarantined: Callable[[list[str]], None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._reaching: asyncio.Task[None] | None = None
         self._hello = hello
@@ -83,7 +83,7 @@
         self._conns: dict[int, FrameConnection] = {}
         self._next_link = LOCAL_LINK + 1
         self._greeted: set[int] = set()
-        self._unaware: set[int] = set()
+        self._goaway_unacked: set[int] = set()
         host, _, port = cfg["upstream"]["address"].rpartition(":")
         self.pool = UpstreamPool(
             (host, int(port)),
@@ -180,24 +180,24 @@
         self._carry_out(self.owner.set_queue_limits(self._loop.time(), limits))
 
     @property
-    def parting(self) -> bool:
+    def goaway_pending(self) -> bool:
         """Return whether ingresses are being told that no call is taken any more."""
-        return bool(self._unaware)
+        return bool(self._goaway_unacked)
 
-    async def part(self, limit: float) -> None:
+    async def send_goaway(self, limit: float) -> None:
         """Tell every ingress that no call is taken any more; returns when all have read it.
 
         What they had sent before is refused meanwhile. A silent one is not waited for long, and
         not beyond the `limit` of the whole stop, in monotonic seconds, but for a last look.
         """
-        self._unaware = {link for link in self._greeted if link != LOCAL_LINK}
-        for link in self._unaware:
+        self._goaway_unacked = {link for link in self._greeted if link != LOCAL_LINK}
+        for link in self._goaway_unacked:
             self._send(link, "Goaway", {"reason": "drain"})
         now = self._loop.time()
         until = min(now + PART_S, max(limit, now + PART_LEAST_S))
-        while self._unaware and self._loop.time() < until:
+        while self._goaway_unacked and self._loop.time() < until:
             await asyncio.sleep(PART_LOOK_S)
-        self._unaware.clear()
+        self._goaway_unacked.clear()
 
     def ingresses(self) -> list[tuple[int, str]]:
         """Return the connections of other daemons, each with the daemon's name."""
@@ -268,14 +268,14 @@
             case "FateAsk":
                 self._carry_out(self.owner.fate(now, link, body))
             case "Goaway":
-                self._unaware.discard(link)
+                self._goaway_unacked.discard(link)
             case _ if self._on_peer is not None:
                 self._on_peer(link, kind, body)
 
     def _lost(self, conn: FrameConnection) -> None:
         self._conns.pop(conn.number, None)
         self._greeted.discard(conn.number)
-        self._unaware.discard(conn.number)
+        self._goaway_unacked.discard(conn.number)
         self.owner.link_lost(self._loop.time(), conn.number)
 
     def _result(self, ticket: int, result: Result) -> None:
@@ -328,8 +328,8 @@
                     self.pool.start(self._loop.time(), action)
                 case CancelCall(ticket, reason):
                     self.pool.cancel(ticket, reason)
-                case ShareSuspects(suspects) if self.on_spread is not None:
-                    self.on_spread(suspects)
+                case ShareSuspects(suspects) if self.on_suspects is not None:
+                    self.on_suspects(suspects)
                 case QuarantineCalls(calls):
                     self._tell_held(calls)
                 case CloseLink(link):
@@ -340,8 +340,8 @@
     def _tell_held(self, calls: list[str]) -> None:
         for call in calls:
             logger.warning("calls like {} are refused: upstreams have ended under them", call)
-        if self.on_held is not None:
-            self.on_held(calls)
+        if self.on_quarantined is not None:
+            self.on_quarantined(calls)
 
     def _send(self, link: int, kind: str, body: Any) -> None:
         if link == LOCAL_LINK:
--- a/foldhoist/daemon/stopping.py
+++ b/foldhoist/daemon/stopping.py
@@ -49,7 +49,7 @@
         for conn in list(daemon.shared.open):
             conn.close()
         await self._wait_until(lambda: not daemon.owner.calls, limit)
-        await daemon.owner_task.part(limit)
+        await daemon.owner_task.send_goaway(limit)
         await asyncio.sleep(FLUSH_S)
         await daemon.stop()
 
--- a/tests/adapter/test_path.py
+++ b/tests/adapter/test_path.py
@@ -347,7 +347,7 @@
     stop = asyncio.ensure_future(owner.drain())
     patient = {"X-Deadline-Ms": "9000"}
     asked = asyncio.ensure_future(cluster.ask("b", method="POST", headers=patient))
-    await until(lambda: owner.owner_task.parting or owner.stopped.is_set())
+    await until(lambda: owner.owner_task.goaway_pending or owner.stopped.is_set())
     from_ingress.resume_reading()
     await until(lambda: owner.owner.count.refused > 0 or owner.stopped.is_set())
     to_owner.resume_reading()
