--- a/bench/stages.py
+++ b/bench/stages.py
@@ -147,7 +147,7 @@
         self.upstream.connection_made(self.upstream_wire)
         self.upstream.idle_since = float("inf")
         self.owner_task.pool._idle.append(self.upstream)
-        self.shared = Shared(cfg["limits"], self.task.arrive, self.task.gone)
+        self.shared = Shared(cfg["limits"], self.task.arrive, self.task.caller_disconnected)
         self.caller_wire = FakeTransport()
         self.caller = CallerConnection(self.shared)
         self.caller.connection_made(self.caller_wire)
--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -219,7 +219,9 @@
     async def _listen(self) -> None:
         cfg = self.cfg
         loop = asyncio.get_running_loop()
-        self.shared = Shared(cfg["limits"], self.ingress_task.arrive, self.ingress_task.gone)
+        self.shared = Shared(
+            cfg["limits"], self.ingress_task.arrive, self.ingress_task.caller_disconnected
+        )
         host, port = _split(cfg["listen"]["callers"])
         callers = await loop.create_server(
             lambda: CallerConnection(self.shared), host, port, backlog=1024
--- a/foldhoist/daemon/ingress_task.py
+++ b/foldhoist/daemon/ingress_task.py
@@ -60,7 +60,7 @@
         req = req._replace(parent_rank=tickets.most_common_rank, parent_repeat=tickets.repeat_share)
         self._carry_out(self.ingress.arrive(self._loop.time(), call_id, req))
 
-    def gone(self, call_id: int) -> None:
+    def caller_disconnected(self, call_id: int) -> None:
         """Take in that a caller left before its answer."""
         if self._callers.pop(call_id, None) is None:
             return
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -223,7 +223,7 @@
             self._local_frame,
             self._hop,
             self.adapter.dialect,
-            self.messages.inbound,
+            self.messages.on_inbound,
         )
         if self._began is not None:
             self.owner_task.began = self._began
@@ -238,15 +238,15 @@
             self._on_link_up,
             self._on_link_lost,
             self.ingress_task.link_refused,
-            self.messages.outbound,
+            self.messages.on_outbound,
         )
         self.links = Links(
             self._hello, cfg["limits"]["body_bytes"] + FRAME_OVERHEAD_BYTES, events, self.rng
         )
         self.ingress_task.on_ended = self._ended
         self.owner_task.on_refused = self._refused
-        self.owner_task.on_suspects = self.messages.spread
-        self.owner_task.on_quarantined = self.messages.held
+        self.owner_task.on_suspects = self.messages.share_suspects
+        self.owner_task.on_quarantined = self.messages.store_quarantined
         self.ingress_task.connect(self.name, self.links, self.owner_task)
         self.quotas = QuotaTask(
             self.name,
@@ -262,7 +262,9 @@
         cfg = self.cfg
         loop = asyncio.get_running_loop()
         task = self.ingress_task
-        self.shared = Shared(cfg["limits"], task.arrive, task.gone, self.adapter.dialect)
+        self.shared = Shared(
+            cfg["limits"], task.arrive, task.caller_disconnected, self.adapter.dialect
+        )
         self._servers: list[asyncio.Server] = []
         makers = {
             "callers": lambda: CallerConnection(self.shared),
@@ -274,7 +276,7 @@
             self._servers.append(server)
             self.addresses[name] = "{}:{}".format(*server.sockets[0].getsockname()[:2])
 
-    def close_door(self) -> None:
+    def stop_accepting(self) -> None:
         """Take no new connections of callers."""
         self._servers[0].close()
 
@@ -363,7 +365,7 @@
         told = self.peers.report_to_data_centre()
         for link, name in self.owner_task.ingresses():
             if name not in told:
-                self.messages.tell(link, name)
+                self.messages.send_member(link, name)
         service = self.upstream.described()["service"]
         if service != self._announced_service:
             self._announced_service = service
--- a/foldhoist/daemon/peer_messages.py
+++ b/foldhoist/daemon/peer_messages.py
@@ -18,7 +18,7 @@
     def __init__(self, daemon: MeshDaemon) -> None:
         self._daemon = daemon
 
-    def outbound(self, name: str, kind: str, body: Any) -> None:
+    def on_outbound(self, name: str, kind: str, body: Any) -> None:
         """Take in a message on a connection that this daemon opened."""
         daemon = self._daemon
         daemon.registry.record_contact(asyncio.get_running_loop().time(), name)
@@ -41,7 +41,7 @@
             case _:
                 daemon.ingress_task.message(name, kind, body)
 
-    def inbound(self, link: int, kind: str, body: Any) -> None:
+    def on_inbound(self, link: int, kind: str, body: Any) -> None:
         """Take in a message on a connection that a peer opened."""
         daemon = self._daemon
         match kind:
@@ -64,17 +64,17 @@
                 if name:
                     daemon.versions.on_fresh(name, body)
 
-    def spread(self, suspects: list[Suspect]) -> None:
+    def share_suspects(self, suspects: list[Suspect]) -> None:
         """Have the other data centres hear of calls that end upstreams."""
         self._daemon.peers.send_to_relays("Crashes", {"suspects": suspects, "spread": True})
 
-    def held(self, calls: list[str]) -> None:
+    def store_quarantined(self, calls: list[str]) -> None:
         """Have the store keep what this daemon has seen of calls that are refused from now on."""
         daemon = self._daemon
         if any(daemon.quarantine.is_own(call) for call in calls):
             daemon.peers.rewrite_record()
 
-    def tell(self, link: int, name: str) -> None:
+    def send_member(self, link: int, name: str) -> None:
         """Tell a peer what this daemon is now, on the connection that the peer opened."""
         self._daemon.owner_task.reply(link, "Member", self._daemon.describe())
         self._daemon.peers.record_reported(name)
@@ -100,7 +100,7 @@
             reply(link, "Remembered", {"ended": ended})
         # It may have been told on a connection of this daemon's, before something changed.
         if is_new or not daemon.peers.has_latest_report(member["name"]):
-            self.tell(link, member["name"])
+            self.send_member(link, member["name"])
         reply(link, "Noted", {"ended": member["ended"]})
         if daemon.versions.is_behind(member):
             reply(link, *daemon.versions.for_newcomer(member["name"], member["version"]))
--- a/foldhoist/daemon/stopping.py
+++ b/foldhoist/daemon/stopping.py
@@ -44,7 +44,7 @@
         daemon.ingress_task.ingress.admission.begin_shutdown(limit)
         await self._wait_until(lambda: not daemon.shared.open, began + CLOSE_S)
         daemon.owner_task.set_leaving("drain")
-        daemon.close_door()
+        daemon.stop_accepting()
         await self._wait_until(self._all_closed, limit)
         for conn in list(daemon.shared.open):
             conn.close()
--- a/tests/unit/daemon/test_peer_messages.py
+++ b/tests/unit/daemon/test_peer_messages.py
@@ -41,7 +41,7 @@
     daemon: Any = Told()
     messages = PeerMessages(daemon)
     member = {"name": "b", "incarnation": "l1", "ended": [], "version": 0}
-    messages.inbound(3, "Member", member)
+    messages.on_inbound(3, "Member", member)
     assert daemon.replies == ["Member", "Noted"]
-    messages.inbound(3, "Member", member)
+    messages.on_inbound(3, "Member", member)
     assert daemon.replies[2:] == ["Noted"]
