--- a/foldhoist/daemon/frames.py
+++ b/foldhoist/daemon/frames.py
@@ -13,11 +13,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-SILENT_MS = 1500
+PEER_TIMEOUT_MS = 1500
 """A peer whose host acknowledges nothing for this long counts as gone, milliseconds."""
-MOST_UNSENT = 16 * 1024 * 1024
+MAX_UNSENT_BYTES = 16 * 1024 * 1024
 """A peer that leaves this many bytes unread is cut off, bytes."""
-PIECES_S = 0.005
+PIECE_RETRY_S = 0.005
 """Time between two looks at whether the connection takes another piece, seconds."""
 
 
@@ -46,8 +46,8 @@
         """Keep the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.set_write_buffer_limits(high=MOST_UNSENT)
-        notice_silence(transport)
+        transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
+        enable_keepalive(transport)
 
     def data_received(self, data: bytes) -> None:
         """Hand on every whole message; a peer that breaks the schema is cut off."""
@@ -77,7 +77,7 @@
         if self._transport is None:
             return
         self._write(kind, self._fragmenter.first(body))
-        if self._fragmenter.pending_bytes > MOST_UNSENT:
+        if self._fragmenter.pending_bytes > MAX_UNSENT_BYTES:
             self.close()
         elif self._fragmenter.pending_bytes and self._pieces is None:
             self._send_pieces()
@@ -100,7 +100,7 @@
         while self._transport is not None and self._fragmenter.pending_bytes:
             if self._transport.get_write_buffer_size() > PIECE_BYTES:
                 loop = asyncio.get_running_loop()
-                self._pieces = loop.call_later(PIECES_S, self._send_pieces)
+                self._pieces = loop.call_later(PIECE_RETRY_S, self._send_pieces)
                 return
             piece = self._fragmenter.next_piece()
             if piece is not None:
@@ -121,7 +121,7 @@
         return whole
 
 
-def notice_silence(transport: asyncio.BaseTransport) -> None:
+def enable_keepalive(transport: asyncio.BaseTransport) -> None:
     """Have the system end the connection when the peer's host falls silent."""
     sock = transport.get_extra_info("socket")
     if sock is None:
@@ -130,4 +130,4 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENT_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, PEER_TIMEOUT_MS)
