--- a/foldhoist/daemon/peers_task.py
+++ b/foldhoist/daemon/peers_task.py
@@ -167,7 +167,7 @@
             self._send_back(name, kind, body)
 
     def broadcast(self, kind: str, body: Any, local: bool | None = None) -> None:
-        """Write a message to connected peers; `local` for those of this data centre or of others."""
+        """Write a message to connected peers; `local` selects by data centre."""
         for name in self._links.connected():
             if local is not None and self.is_local(name) != local:
                 continue
