--- a/foldhoist/daemon/ingress_task.py
+++ b/foldhoist/daemon/ingress_task.py
@@ -60,7 +60,7 @@
         req = req._replace(parent_rank=tickets.most_common_rank, parent_repeat=tickets.repeat_share)
         self._carry_out(self.ingress.arrive(self._loop.time(), call_id, req))
 
-    def gone(self, call_id: int) -> None:
+    def caller_disconnected(self, call_id: int) -> None:
         """Take in that a caller left before its answer."""
         if self._callers.pop(call_id, None) is None:
             return
@@ -127,7 +127,7 @@
                         conn.answer(verdict, trace_id(record.trace))
                     self._ended(record)
                 case Connect(targets):
-                    self._links.want(name for name in targets if name != self._name)
+                    self._links.connect(name for name in targets if name != self._name)
         self._set_timer()
 
     def _send(self, target: str, kind: str, body: Any) -> None:
