--- a/bench/stages.py
+++ b/bench/stages.py
@@ -25,7 +25,7 @@
 from foldhoist.delivery.owner import Owner
 from foldhoist.membership.view import homes, tracked
 from foldhoist.observe.latencies import Latencies
-from foldhoist.observe.records import Hop, Ring
+from foldhoist.observe.records import Hop, RecordBuffer
 from foldhoist.observe.spans import Spans
 
 if TYPE_CHECKING:
@@ -127,8 +127,8 @@
         ingress = Ingress("a", 4000, random.Random(1))
         spans = Spans("in", "a", "", 0.0)
         self.latencies = Latencies()
-        self.ring = Ring(4096)
-        self.task = IngressTask(ingress, self.ring, self.latencies, spans)
+        self.records = RecordBuffer(4096)
+        self.task = IngressTask(ingress, self.records, self.latencies, spans)
         self.to_owner, self.from_ingress = FakeTransport(), FakeTransport()
         self.link = FrameConnection(1 << 20, lambda c, k, b: self.task.message("x", k, b), print)
         self.link.connection_made(self.to_owner)
@@ -154,7 +154,7 @@
 
     def hop(self, call: Any) -> None:
         """Do what a daemon does with the end of a call at an owner."""
-        self.ring.add_hop(Hop("depo-1", 0.0, call))
+        self.records.add_hop(Hop("depo-1", 0.0, call))
         self.latencies.record("queue", call.waited_us)
         self.latencies.record("upstream", call.served_us)
 
--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -37,7 +37,7 @@
 from foldhoist.observe.latencies import Latencies
 from foldhoist.observe.logs import log_reread
 from foldhoist.observe.metrics import Metrics
-from foldhoist.observe.records import Hop, Ring
+from foldhoist.observe.records import Hop, RecordBuffer
 from foldhoist.observe.spans import Spans
 from foldhoist.quarantine.table import Quarantine
 
@@ -76,7 +76,7 @@
         self.stopped = asyncio.Event()
         self.addresses: dict[str, str] = {}
         self.latencies = Latencies()
-        self.ring = Ring(cfg["observe"]["records"])
+        self.records = RecordBuffer(cfg["observe"]["records"])
         observe, centre = cfg["observe"], cfg["daemon"]["data_centre"]
         self.spans = Spans(self.name, centre, observe["otlp"], observe["trace_share"])
         self.metrics = Metrics(self.latencies, self.counters, self.gauges)
@@ -109,7 +109,7 @@
         ingress = Ingress(
             cfg["daemon"]["data_centre"], cfg["limits"]["calls"], self.rng, quarantine=quarantine
         )
-        self.ingress_task = IngressTask(ingress, self.ring, self.latencies, self.spans)
+        self.ingress_task = IngressTask(ingress, self.records, self.latencies, self.spans)
         events = LinkEvents(
             self.ingress_task.link_up,
             self.ingress_task.link_lost,
@@ -297,7 +297,7 @@
 
     def _hop(self, call: Ended) -> None:
         hop = Hop(self.name, time.time(), call)
-        self.ring.add_hop(hop)
+        self.records.add_hop(hop)
         self.spans.hop(hop)
         self.latencies.record("queue", call.waited_us)
         self.latencies.record("upstream", call.served_us)
--- a/foldhoist/daemon/ingress_task.py
+++ b/foldhoist/daemon/ingress_task.py
@@ -18,7 +18,7 @@
     from foldhoist.delivery.call import Action, CallerRequest, Record
     from foldhoist.delivery.ingress import Ingress
     from foldhoist.observe.latencies import Latencies
-    from foldhoist.observe.records import Ring
+    from foldhoist.observe.records import RecordBuffer
     from foldhoist.observe.spans import Spans
     from foldhoist.routing.picker import Member
     from foldhoist.schema.fleet import Fleet
@@ -28,10 +28,10 @@
     """The ingress role of a daemon."""
 
     def __init__(
-        self, ingress: Ingress, ring: Ring, latencies: Latencies, spans: Spans | None
+        self, ingress: Ingress, records: RecordBuffer, latencies: Latencies, spans: Spans | None
     ) -> None:
         self.ingress = ingress
-        self._ring = ring
+        self._records = records
         self._latencies = latencies
         self._spans = spans
         self.on_ended: Callable[[Record], None] | None = None
@@ -137,7 +137,7 @@
         self._links.send(target, kind, body)
 
     def _ended(self, record: Record) -> None:
-        self._ring.add_call(record)
+        self._records.add_call(record)
         if self.on_ended is not None:
             self.on_ended(record)
         total_us = (record.ended - record.arrived) * 1e6
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -40,7 +40,7 @@
 from foldhoist.observe.exporting import spans_of
 from foldhoist.observe.latencies import Latencies
 from foldhoist.observe.logs import log_reread, write_event
-from foldhoist.observe.records import Ring
+from foldhoist.observe.records import RecordBuffer
 from foldhoist.quarantine.table import Quarantine
 
 if TYPE_CHECKING:
@@ -232,8 +232,8 @@
         ingress = Ingress(
             self.data_centre, cfg["limits"]["calls"], self.rng, self._slack, self.quarantine
         )
-        ring = Ring(cfg["observe"]["records"])
-        self.ingress_task = IngressTask(ingress, ring, self.latencies, spans_of(cfg))
+        records = RecordBuffer(cfg["observe"]["records"])
+        self.ingress_task = IngressTask(ingress, records, self.latencies, spans_of(cfg))
         events = LinkEvents(
             self._on_link_up,
             self._on_link_lost,
--- a/foldhoist/daemon/operators.py
+++ b/foldhoist/daemon/operators.py
@@ -40,17 +40,18 @@
 class _Records(_Handler):
     def get(self) -> None:
         after = int(self.get_query_argument("after", "0"))
-        number, records = self.daemon.ring.since(after)
+        number, records = self.daemon.records.since(after)
         self.give({"number": number, "records": [record_report(each) for each in records]})
 
 
 class _Explain(_Handler):
     def get(self, trace: str) -> None:
-        ring = self.daemon.ring
+        buffer = self.daemon.records
         hops = [
-            {"owner": hop.owner, "at": hop.at, **hop.call._asdict()} for hop in ring.hops_of(trace)
+            {"owner": hop.owner, "at": hop.at, **hop.call._asdict()}
+            for hop in buffer.hops_of(trace)
         ]
-        calls = [record_report(record) for record in ring.calls_of(trace)]
+        calls = [record_report(record) for record in buffer.calls_of(trace)]
         self.give({"daemon": self.daemon.name, "calls": calls, "hops": hops})
 
 
--- a/foldhoist/observe/records.py
+++ b/foldhoist/observe/records.py
@@ -23,7 +23,7 @@
     return traceparent[3:35]
 
 
-class Ring:
+class RecordBuffer:
     """The latest records of calls and of hops, each at most `size`."""
 
     def __init__(self, size: int) -> None:
--- a/tests/unit/observe/test_spans.py
+++ b/tests/unit/observe/test_spans.py
@@ -6,7 +6,7 @@
 
 from foldhoist.delivery.call import Attempt, Record
 from foldhoist.delivery.dispatch import Ended
-from foldhoist.observe.records import Hop, Ring, trace_id
+from foldhoist.observe.records import Hop, RecordBuffer, trace_id
 from foldhoist.observe.spans import Spans, attempt_span
 
 if TYPE_CHECKING:
@@ -66,9 +66,9 @@
 
 
 def test_the_ring_keeps_the_latest() -> None:
-    ring = Ring(3)
+    buffer = RecordBuffer(3)
     for number in range(5):
-        ring.add_call(record()._replace(path=f"/{number}"))
-    assert [each.path for each in ring.calls_of(trace_id(TRACE))] == ["/2", "/3", "/4"]
-    number, fresh = ring.since(4)
+        buffer.add_call(record()._replace(path=f"/{number}"))
+    assert [each.path for each in buffer.calls_of(trace_id(TRACE))] == ["/2", "/3", "/4"]
+    number, fresh = buffer.since(4)
     assert (number, [each.path for each in fresh]) == (5, ["/4"])
