--- a/bench/stages.py
+++ b/bench/stages.py
@@ -26,7 +26,7 @@
 from foldhoist.membership.view import homes, tracked
 from foldhoist.observe.latencies import Latencies
 from foldhoist.observe.records import Hop, RecordBuffer
-from foldhoist.observe.spans import Spans
+from foldhoist.observe.spans import SpanExporter
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -125,7 +125,7 @@
         hello: Hello = {"name": "in", "incarnation": "i", "epoch": 1, "schema": SCHEMA_VERSION}
         fleet, _ = parse_fleet(fleet_text(TARGETS), "bench")
         ingress = Ingress("a", 4000, random.Random(1))
-        spans = Spans("in", "a", "", 0.0)
+        spans = SpanExporter("in", "a", "", 0.0)
         self.latencies = Latencies()
         self.records = RecordBuffer(4096)
         self.task = IngressTask(ingress, self.records, self.latencies, spans)
--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -38,7 +38,7 @@
 from foldhoist.observe.logs import log_reread
 from foldhoist.observe.metrics import Metrics
 from foldhoist.observe.records import Hop, RecordBuffer
-from foldhoist.observe.spans import Spans
+from foldhoist.observe.spans import SpanExporter
 from foldhoist.quarantine.table import Quarantine
 
 if TYPE_CHECKING:
@@ -78,7 +78,7 @@
         self.latencies = Latencies()
         self.records = RecordBuffer(cfg["observe"]["records"])
         observe, centre = cfg["observe"], cfg["daemon"]["data_centre"]
-        self.spans = Spans(self.name, centre, observe["otlp"], observe["trace_share"])
+        self.spans = SpanExporter(self.name, centre, observe["otlp"], observe["trace_share"])
         self.metrics = Metrics(self.latencies, self.counters, self.gauges)
         self._hello: Hello = {
             "name": self.name,
@@ -298,7 +298,7 @@
     def _hop(self, call: Ended) -> None:
         hop = Hop(self.name, time.time(), call)
         self.records.add_hop(hop)
-        self.spans.hop(hop)
+        self.spans.export_hop(hop)
         self.latencies.record("queue", call.waited_us)
         self.latencies.record("upstream", call.served_us)
 
--- a/foldhoist/daemon/ingress_task.py
+++ b/foldhoist/daemon/ingress_task.py
@@ -19,7 +19,7 @@
     from foldhoist.delivery.ingress import Ingress
     from foldhoist.observe.latencies import Latencies
     from foldhoist.observe.records import RecordBuffer
-    from foldhoist.observe.spans import Spans
+    from foldhoist.observe.spans import SpanExporter
     from foldhoist.routing.picker import Member
     from foldhoist.schema.fleet import Fleet
 
@@ -28,7 +28,11 @@
     """The ingress role of a daemon."""
 
     def __init__(
-        self, ingress: Ingress, records: RecordBuffer, latencies: Latencies, spans: Spans | None
+        self,
+        ingress: Ingress,
+        records: RecordBuffer,
+        latencies: Latencies,
+        spans: SpanExporter | None,
     ) -> None:
         self.ingress = ingress
         self._records = records
@@ -145,7 +149,7 @@
         if record.verdict == "answered" and len(record.attempts) == 1:
             self._latencies.record("added", total_us - record.attempts[0].served_us)
         if self._spans is not None:
-            self._spans.call(record, time.time(), self._loop.time())
+            self._spans.export_call(record, time.time(), self._loop.time())
 
     def _set_timer(self) -> None:
         at = self.ingress.next_at()
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -36,8 +36,8 @@
 from foldhoist.delivery.services import RetrySlack
 from foldhoist.membership.registry import Registry
 from foldhoist.observe.counters import counters_of
-from foldhoist.observe.events import Events
-from foldhoist.observe.exporting import spans_of
+from foldhoist.observe.events import EventLog
+from foldhoist.observe.exporting import make_span_exporter
 from foldhoist.observe.latencies import Latencies
 from foldhoist.observe.logs import log_reread, write_event
 from foldhoist.observe.records import RecordBuffer
@@ -83,7 +83,7 @@
         self._announced_service = cfg["upstream"]["service"]
         self.latencies = Latencies()
         self.adapter = load_adapter(cfg)
-        self.events = Events(write_event, cfg["observe"]["log_share"], self.rng)
+        self.events = EventLog(write_event, cfg["observe"]["log_share"], self.rng)
         self._hello: Hello = {
             "name": self.name,
             "incarnation": self.incarnation,
@@ -233,7 +233,7 @@
             self.data_centre, cfg["limits"]["calls"], self.rng, self._slack, self.quarantine
         )
         records = RecordBuffer(cfg["observe"]["records"])
-        self.ingress_task = IngressTask(ingress, records, self.latencies, spans_of(cfg))
+        self.ingress_task = IngressTask(ingress, records, self.latencies, make_span_exporter(cfg))
         events = LinkEvents(
             self._on_link_up,
             self._on_link_lost,
@@ -381,18 +381,18 @@
 
     def _tell_link(self, name: str, state: str) -> None:
         now = asyncio.get_running_loop().time()
-        self.events.changed(now, "link", {"peer": name, "state": state})
+        self.events.log_change(now, "link", {"peer": name, "state": state})
 
     def _local_frame(self, kind: str, body: Any) -> None:
         self.ingress_task.message(self.name, kind, body)
 
     def _ended(self, record: Record) -> None:
-        self.events.call(asyncio.get_running_loop().time(), record)
+        self.events.log_call(asyncio.get_running_loop().time(), record)
 
     def _refused(self, refused: Refused) -> None:
-        self.events.refused(asyncio.get_running_loop().time(), refused)
+        self.events.log_refused(asyncio.get_running_loop().time(), refused)
 
     def _hop(self, call: Ended) -> None:
-        self.events.hop(asyncio.get_running_loop().time(), call)
+        self.events.log_hop(asyncio.get_running_loop().time(), call)
         self.latencies.record("queue", call.waited_us)
         self.latencies.record("upstream", call.served_us)
--- a/foldhoist/observe/events.py
+++ b/foldhoist/observe/events.py
@@ -28,7 +28,7 @@
 """Statuses from this on are failures of an upstream."""
 
 
-class Events:
+class EventLog:
     """Turns records into lines; `write(event, fields)` takes them, `share` of ordinary calls."""
 
     def __init__(
@@ -40,15 +40,15 @@
         self._buckets: dict[str, TokenBucket] = {}
         self._left_out: dict[str, int] = {}
 
-    def call(self, now: float, record: Record) -> None:
+    def log_call(self, now: float, record: Record) -> None:
         """Tell of a call that has ended: each attempt, then its final answer."""
         if _is_ordinary(record) and self._rng.random() >= self.share:
             return
         for attempt in record.attempts:
-            self._tell(now, "attempt", _attempt_fields(record, attempt))
-        self._tell(now, "call", _call_fields(record))
+            self._write_bounded(now, "attempt", _attempt_fields(record, attempt))
+        self._write_bounded(now, "call", _call_fields(record))
 
-    def hop(self, now: float, hop: Ended) -> None:
+    def log_hop(self, now: float, hop: Ended) -> None:
         """Tell of a call that the upstream has ended."""
         ordinary = hop.result.startswith(("answered 2", "answered 3", "answered 4"))
         if ordinary and self._rng.random() >= self.share:
@@ -63,19 +63,19 @@
             "busy": hop.busy,
             "queued": hop.queued,
         }
-        self._tell(now, "hop", fields)
+        self._write_bounded(now, "hop", fields)
 
-    def refused(self, now: float, refused: Refused) -> None:
+    def log_refused(self, now: float, refused: Refused) -> None:
         """Tell of a call that the owner sent back without running it."""
         fields = refused._asdict()
         fields["trace"] = trace_id(refused.trace)
-        self._tell(now, "refused", fields)
+        self._write_bounded(now, "refused", fields)
 
-    def changed(self, now: float, event: str, fields: dict[str, Any]) -> None:
+    def log_change(self, now: float, event: str, fields: dict[str, Any]) -> None:
         """Tell of a change of what this process believes."""
-        self._tell(now, event, fields)
+        self._write_bounded(now, event, fields)
 
-    def _tell(self, now: float, event: str, fields: dict[str, Any]) -> None:
+    def _write_bounded(self, now: float, event: str, fields: dict[str, Any]) -> None:
         bucket = self._buckets.get(event)
         if bucket is None:
             bucket = self._buckets[event] = TokenBucket(LINES_PER_S, LINES_BURST, now)
--- a/foldhoist/observe/latencies.py
+++ b/foldhoist/observe/latencies.py
@@ -10,7 +10,7 @@
 """Significant decimal digits of a histogram."""
 KEPT_BITS = 8
 """Bits of a value that are kept, which is more than the digits above need."""
-QUANTILES = (50.0, 90.0, 99.0, 99.9)
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 """Percentiles that are shown."""
 
 
@@ -40,7 +40,7 @@
         shown: dict[str, dict[str, float]] = {}
         for name, histogram in self._by_name.items():
             entry = {"count": float(histogram.get_total_count())}
-            for quantile in QUANTILES:
+            for quantile in PERCENTILES:
                 entry[f"p{quantile:g}"] = float(histogram.get_value_at_percentile(quantile))
             shown[name] = entry
         return shown
--- a/foldhoist/observe/metrics.py
+++ b/foldhoist/observe/metrics.py
@@ -8,7 +8,7 @@
 from prometheus_client.exposition import generate_latest
 from prometheus_client.registry import CollectorRegistry
 
-from foldhoist.observe.latencies import QUANTILES, Latencies
+from foldhoist.observe.latencies import PERCENTILES, Latencies
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -49,7 +49,7 @@
 def _summary(name: str, entry: dict[str, float]) -> SummaryMetricFamily:
     family = SummaryMetricFamily(f"foldhoist_{name}_seconds", f"latency of {name}")
     family.add_metric([], count_value=int(entry["count"]), sum_value=0)
-    for quantile in QUANTILES:
+    for quantile in PERCENTILES:
         labels = {"quantile": f"{quantile / 100:g}"}
         family.add_sample(f"foldhoist_{name}_seconds", labels, entry[f"p{quantile:g}"] / 1e6)
     return family
--- a/foldhoist/observe/spans.py
+++ b/foldhoist/observe/spans.py
@@ -27,7 +27,7 @@
     return int(traceparent[36:52], 16)
 
 
-def attempt_span(traceparent: str, seq: int) -> int:
+def attempt_span_id(traceparent: str, seq: int) -> int:
     """Return the span of an attempt: ingress and owner find the same without telling."""
     digest = blake2b(f"{traceparent}:{seq}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") or 1
@@ -38,12 +38,12 @@
     return SpanContext(trace, span, is_remote=False, trace_flags=TraceFlags(TraceFlags.SAMPLED))
 
 
-class Spans:
+class SpanExporter:
     """Turns records into spans and exports them; without an address nothing is done."""
 
     def __init__(self, name: str, data_centre: str, address: str, share: float) -> None:
         self.share = share
-        self.made = 0
+        self.exported = 0
         self._resource = Resource.create(
             {"service.name": "foldhoist", "service.instance.id": name, "dc": data_centre}
         )
@@ -56,7 +56,7 @@
         if self._processor is not None:
             self._processor.shutdown()  # type: ignore[no-untyped-call]
 
-    def call(self, record: Record, wall: float, now: float) -> None:
+    def export_call(self, record: Record, wall: float, now: float) -> None:
         """Export the spans of a call and of its attempts, if it is kept.
 
         `wall` and `now` are wall clock and monotonic seconds of the same moment.
@@ -68,17 +68,17 @@
         fields = {"service": record.service, "verdict": record.verdict, "reason": record.reason}
         self._emit("call", record.trace, parent, None, record.arrived, record.ended, offset, fields)
         for attempt in record.attempts:
-            span = attempt_span(record.trace, attempt.seq)
+            span = attempt_span_id(record.trace, attempt.seq)
             fields = {"target": attempt.target, "why": attempt.reason, "result": attempt.result}
             times = (attempt.sent, attempt.ended, offset)
             self._emit("attempt", record.trace, span, parent, *times, fields)
 
-    def hop(self, hop: Hop) -> None:
+    def export_hop(self, hop: Hop) -> None:
         """Export the spans of an owner's queue and of its upstream."""
         if self._processor is None or not self._draws(hop.call.trace):
             return
         call = hop.call
-        parent = attempt_span(call.trace, call.seq)
+        parent = attempt_span_id(call.trace, call.seq)
         start = hop.at - (call.waited_us + call.served_us) / 1e6
         taken = start + call.waited_us / 1e6
         fields = {"owner": hop.owner, "result": call.result}
@@ -105,7 +105,7 @@
         fields: dict[str, Any],
     ) -> None:
         assert self._processor is not None
-        self.made += 1
+        self.exported += 1
         made = ReadableSpan(
             name=name,
             context=_context(traceparent, span),
--- a/tests/unit/observe/test_events.py
+++ b/tests/unit/observe/test_events.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from foldhoist.delivery.call import Attempt, Record
-from foldhoist.observe.events import LINES_BURST, Events
+from foldhoist.observe.events import LINES_BURST, EventLog
 from foldhoist.observe.logs import LineWriter
 
 
@@ -23,9 +23,9 @@
 def told(share: float, records: list[Record]) -> list[tuple[str, dict[str, Any]]]:
     """Return the lines that tell of these calls, all at one moment."""
     lines: list[tuple[str, dict[str, Any]]] = []
-    events = Events(lambda event, fields: lines.append((event, fields)), share, random.Random(1))
+    events = EventLog(lambda event, fields: lines.append((event, fields)), share, random.Random(1))
     for each in records:
-        events.call(5.0, each)
+        events.log_call(5.0, each)
     return lines
 
 
@@ -45,11 +45,11 @@
 
 def test_a_bound_holds_for_each_kind_and_what_is_left_out_is_counted() -> None:
     lines: list[tuple[str, dict[str, Any]]] = []
-    events = Events(lambda event, fields: lines.append((event, fields)), 0.0, random.Random(1))
+    events = EventLog(lambda event, fields: lines.append((event, fields)), 0.0, random.Random(1))
     for _ in range(int(LINES_BURST) + 30):
-        events.call(5.0, record(attempts=0))
+        events.log_call(5.0, record(attempts=0))
     assert len(lines) == LINES_BURST
-    events.call(6.0, record(attempts=0))
+    events.log_call(6.0, record(attempts=0))
     assert lines[-1][1]["left_out"] == 30
 
 
--- a/tests/unit/observe/test_spans.py
+++ b/tests/unit/observe/test_spans.py
@@ -7,7 +7,7 @@
 from foldhoist.delivery.call import Attempt, Record
 from foldhoist.delivery.dispatch import Ended
 from foldhoist.observe.records import Hop, RecordBuffer, trace_id
-from foldhoist.observe.spans import Spans, attempt_span
+from foldhoist.observe.spans import SpanExporter, attempt_span_id
 
 if TYPE_CHECKING:
     from opentelemetry.sdk.trace import ReadableSpan
@@ -31,8 +31,8 @@
         self.spans.append(span)
 
 
-def make(share: float) -> tuple[Spans, Kept]:
-    spans, kept = Spans("a", "dc", "", share), Kept()
+def make(share: float) -> tuple[SpanExporter, Kept]:
+    spans, kept = SpanExporter("a", "dc", "", share), Kept()
     spans._processor = kept  # type: ignore[assignment]
     return spans, kept
 
@@ -43,8 +43,8 @@
 
 def test_a_call_has_a_span_for_each_hop_in_one_trace() -> None:
     spans, kept = make(1.0)
-    spans.call(record(), wall=100.0, now=2.0)
-    spans.hop(Hop("depo-1", 99.5, Ended(TRACE, 7, 100, 400, "answered 200", 1, 0)))
+    spans.export_call(record(), wall=100.0, now=2.0)
+    spans.export_hop(Hop("depo-1", 99.5, Ended(TRACE, 7, 100, 400, "answered 200", 1, 0)))
     by_name = {span.name: span for span in kept.spans}
     assert set(by_name) == {"call", "attempt", "queue", "upstream"}
     assert {span.context.trace_id for span in kept.spans if span.context} == {
@@ -52,16 +52,16 @@
     }
     assert parent_of(by_name["attempt"]) == int("2" * 16, 16)
     assert parent_of(by_name["queue"]) == parent_of(by_name["upstream"])
-    assert parent_of(by_name["upstream"]) == attempt_span(TRACE, 7)
+    assert parent_of(by_name["upstream"]) == attempt_span_id(TRACE, 7)
     assert by_name["call"].start_time == int(98.9 * 1e9)
 
 
 def test_ordinary_calls_are_kept_by_share_and_others_always() -> None:
     spans, kept = make(0.0)
-    spans.call(record(), 100.0, 2.0)
+    spans.export_call(record(), 100.0, 2.0)
     assert kept.spans == []
-    spans.call(record("not-run"), 100.0, 2.0)
-    spans.call(record(attempts=2), 100.0, 2.0)
+    spans.export_call(record("not-run"), 100.0, 2.0)
+    spans.export_call(record(attempts=2), 100.0, 2.0)
     assert len(kept.spans) == 5
 
 
