--- a/foldhoist/daemon/configuration.py
+++ b/foldhoist/daemon/configuration.py
@@ -21,8 +21,8 @@
 )
 from foldhoist.configlog.refresh import SnapshotRefresher
 from foldhoist.configlog.spread import PeerSelector, role_of
-from foldhoist.logservice.client import pack_keep, unpack
-from foldhoist.logservice.state import read_kept
+from foldhoist.logservice.client import pack_snapshot, unpack
+from foldhoist.logservice.state import read_retained
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -136,7 +136,7 @@
 
     async def _read_whole(self) -> None:
         self.count.log_reads += 1
-        answer = await read_kept(self._client)
+        answer = await read_retained(self._client)
         if answer.is_error():
             self._log_failed(answer.error)
             return
@@ -201,7 +201,7 @@
         if state.generation < self.state.generation:
             return
         self._refresher.write_attempted(now)
-        await self._client.append(pack_keep(to_snapshot(state)))
+        await self._client.append(pack_snapshot(to_snapshot(state)))
         self.count.kept += 1
 
     # Peers
--- a/foldhoist/logservice/client.py
+++ b/foldhoist/logservice/client.py
@@ -49,7 +49,7 @@
 _PAGES = msgspec.json.Decoder(Page)
 _HOSTS = msgspec.json.Decoder(Host)
 _PUBLISHES = msgspec.json.Decoder(Publish)
-_KEEPS = msgspec.json.Decoder(Snapshot)
+_SNAPSHOTS = msgspec.json.Decoder(Snapshot)
 
 
 def pack_publish(body: Publish) -> bytes:
@@ -57,7 +57,7 @@
     return b"publish " + msgspec.json.encode(body)
 
 
-def pack_keep(body: Snapshot) -> bytes:
+def pack_snapshot(body: Snapshot) -> bytes:
     """Return the bytes of a kept state as a record."""
     return b"keep " + msgspec.json.encode(body)
 
@@ -70,7 +70,7 @@
             case b"publish":
                 return PublishRecord(stored["offset"], _PUBLISHES.decode(fields))
             case b"keep":
-                return SnapshotRecord(stored["offset"], _KEEPS.decode(fields))
+                return SnapshotRecord(stored["offset"], _SNAPSHOTS.decode(fields))
     except msgspec.DecodeError:
         return None
     return None
--- a/foldhoist/logservice/state.py
+++ b/foldhoist/logservice/state.py
@@ -13,7 +13,7 @@
     from foldhoist.logservice.client import PlatformClient, PlatformError
 
 
-class Kept(NamedTuple):
+class RetainedRecords(NamedTuple):
     """All records of ours that a log keeps, its oldest offset and the next to be written."""
 
     records: list[LogRecord]
@@ -26,7 +26,7 @@
         return state._replace(folded=max(state.folded, self.end))
 
 
-async def read_kept(client: PlatformClient) -> Result[Kept, PlatformError]:
+async def read_retained(client: PlatformClient) -> Result[RetainedRecords, PlatformError]:
     """Return everything that the log keeps."""
     records: list[LogRecord] = []
     offset, oldest = 0, -1
@@ -42,12 +42,12 @@
             if record is not None:
                 records.append(record)
         if not page["records"]:
-            return Ok(Kept(records, oldest, offset))
+            return Ok(RetainedRecords(records, oldest, offset))
 
 
 async def read_state(client: PlatformClient) -> Result[State, PlatformError]:
     """Return what the records that the log keeps add up to."""
-    answer = await read_kept(client)
+    answer = await read_retained(client)
     if answer.is_error():
         return Error(answer.error)
     return Ok(answer.ok.state())
--- a/tests/integration/test_configuration.py
+++ b/tests/integration/test_configuration.py
@@ -12,7 +12,7 @@
 import sys
 
 from foldhoist.configlog.fold import digest_of
-from foldhoist.logservice.client import pack_keep
+from foldhoist.logservice.client import pack_snapshot
 from standins.processes import LocalFleet, Target, request_json, wait_until
 from tests.integration.harness import (
     NAMES,
@@ -127,7 +127,7 @@
         wait_until(lambda: request_json(f"{url}?from=0")["oldest"] >= 2)
         fleet.control_platform(keep_s=86400.0)
         stale = {**first, "folded": 1, "exact": True}
-        fleet.post(url, pack_keep(stale))
+        fleet.post(url, pack_snapshot(stale))
         fleet.daemons["depo-3"].kill()
         fleet.restart_daemon("depo-3")
         wait_until(lambda: generations(fleet) == [2] * 3)
