--- a/tests/adapter/test_numbers.py
+++ b/tests/adapter/test_numbers.py
@@ -18,9 +18,9 @@
 from foldhoist.daemon.request import BadRequest
 from foldhoist.delivery.services import RetrySlack
 from foldhoist_adapter.configuration import translate
-from foldhoist_adapter.endpoints import _BEATS, _announced
+from foldhoist_adapter.endpoints import _HEARTBEATS, _announcement
 from foldhoist_adapter.headers import PlatformDialect
-from foldhoist_adapter.numbers import number_in, whole
+from foldhoist_adapter.numbers import parse_number, whole_count
 from tests.unit.daemon.calls import head_of
 
 TEMPLATE = (Path(__file__).resolve().parents[2] / "deploy" / "settings.ini").read_text()
@@ -60,7 +60,7 @@
     assert settings["platform"]["retry_slack"] == float(slack)
     assert settings["platform"]["retry_window_s"] == float(window)
     part = RetrySlack(float(slack), float(window)).part(14)
-    assert part.held > 0
+    assert part.capacity > 0
     assert part.per_s > 0
 
 
@@ -74,7 +74,7 @@
     ("told", "counted"), [(0, 0), (0.4, 1), (1, 1), (5.0, 5), (5.9, 5), (0.0, 0), (-2, 0)]
 )
 def test_a_part_of_one_counts_as_one(told: float, counted: int) -> None:
-    assert whole(told) == counted
+    assert whole_count(told) == counted
 
 
 @pytest.mark.parametrize(
@@ -90,7 +90,7 @@
     ],
 )
 def test_a_number_in_a_header_is_plain(header: bytes, number: float | None) -> None:
-    assert number_in(header) == number
+    assert parse_number(header) == number
 
 
 def test_a_target_may_tell_its_slots_with_a_fraction() -> None:
@@ -98,7 +98,7 @@
         "info": {"service": "kasa", "slots": 4.5},
         "status": {"state": "ready", "sequence": 3, "cold_remaining_s": 0.25},
     }
-    announced = _announced("i-1", _BEATS.decode(json.dumps(beat)))
+    announced = _announcement("i-1", _HEARTBEATS.decode(json.dumps(beat)))
     assert announced["slots"] == 4
     assert announced["cold_ms"] == 250
 
--- a/tests/adapter/test_others_write.py
+++ b/tests/adapter/test_others_write.py
@@ -13,7 +13,7 @@
 from foldhoist.configlog.versions import Version
 from foldhoist.membership.registry import registration_of
 from foldhoist_adapter.configuration import translate
-from foldhoist_adapter.endpoints import _BEATS, _announced
+from foldhoist_adapter.endpoints import _HEARTBEATS, _announcement
 from tests.adapter.cluster import Cluster, call, played, two, until
 
 if TYPE_CHECKING:
@@ -95,7 +95,7 @@
 @given(odd_ones(BEAT))
 def test_a_heartbeat_is_taken_whole_or_refused(body: bytes) -> None:
     try:
-        announced = _announced("i-1", _BEATS.decode(body))
+        announced = _announcement("i-1", _HEARTBEATS.decode(body))
     except (msgspec.MsgspecError, UnicodeDecodeError, ValueError):
         return
     assert announced["state"] in ("ready", "leaving")
