--- a/foldhoist/daemon/stopping.py
+++ b/foldhoist/daemon/stopping.py
@@ -44,12 +44,12 @@
         daemon.ingress_task.ingress.admission.begin_shutdown(limit)
         await self._wait_until(lambda: not daemon.shared.open, began + CLOSE_S)
         daemon.owner_task.set_leaving("drain")
-        daemon.close_door()
+        daemon.stop_accepting()
         await self._wait_until(self._all_closed, limit)
         for conn in list(daemon.shared.open):
             conn.close()
         await self._wait_until(lambda: not daemon.owner.calls, limit)
-        await daemon.owner_task.part(limit)
+        await daemon.owner_task.send_goaway(limit)
         await asyncio.sleep(FLUSH_S)
         await daemon.stop()
 
--- a/tests/unit/daemon/test_peer_messages.py
+++ b/tests/unit/daemon/test_peer_messages.py
@@ -20,9 +20,9 @@
         self.versions = SimpleNamespace(is_behind=lambda member: False)
         self.owner_task = SimpleNamespace(reply=lambda link, kind, body: self.replies.append(kind))
         self.peers = SimpleNamespace(
-            told=lambda member: None,
-            is_told=lambda name: name in self.now_told,
-            note_told=self.now_told.add,
+            update_member=lambda member: None,
+            has_latest_report=lambda name: name in self.now_told,
+            record_reported=self.now_told.add,
         )
 
     def describe(self) -> dict[str, str]:
@@ -41,7 +41,7 @@
     daemon: Any = Told()
     messages = PeerMessages(daemon)
     member = {"name": "b", "incarnation": "l1", "ended": [], "version": 0}
-    messages.inbound(3, "Member", member)
+    messages.on_inbound(3, "Member", member)
     assert daemon.replies == ["Member", "Noted"]
-    messages.inbound(3, "Member", member)
+    messages.on_inbound(3, "Member", member)
     assert daemon.replies[2:] == ["Noted"]
