--- a/tests/adapter/test_headers.py
+++ b/tests/adapter/test_headers.py
@@ -1,4 +1,4 @@
-"""What the platform's headers mean."""
+"""Tests of the translation of the platform's headers."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         (503, {b"X-Attempt-Id": b"of-another", b"X-Not-Executed": b"1"}, type(None)),
     ],
 )
-def test_what_an_answer_of_a_target_means(
+def test_kind_of_result_of_an_upstream_answer(
     status: int, fields: dict[bytes, bytes], kind: type
 ) -> None:
     assert type(DIALECT.result(status, head(fields), b"", CALL)) is kind
@@ -52,13 +52,13 @@
     ("load", "pace"),
     [(b"1,0,12,400", 400), (b"1,0,12", 0), (b"", 0), (b"1,0,12,soon", 0), (b"1,0,12,", 0)],
 )
-def test_the_fourth_figure_of_the_load_is_the_pace(load: bytes, pace: int) -> None:
+def test_pace_is_the_fourth_field_of_the_load_header(load: bytes, pace: int) -> None:
     result = DIALECT.result(200, head({**SIGNED, b"X-Server-Load": load}), b"", CALL)
     assert isinstance(result, Complete)
     assert result.pace == pace
 
 
-def test_a_request_is_handed_to_the_target_with_what_the_system_sets() -> None:
+def test_request_to_the_upstream_carries_the_platform_headers() -> None:
     req = dispatch_of("GET", [[b"Host", b"x"], [b"X-Attempt-Id", b"a1"]])
     sent = dict(DIALECT.request_headers(StartCall(1, {**req, "caller": "web"}, 0.25, "i-1"), b""))
     assert sent[b"X-Deadline-Ms"] == b"250"
@@ -75,14 +75,12 @@
         (b"/", {b"X-Deadline-Ms": b"9" * 20}, "bad-deadline"),
     ],
 )
-def test_a_request_that_cannot_be_read_is_refused(
-    url: bytes, fields: dict[bytes, bytes], reason: str
-) -> None:
+def test_invalid_request_is_refused(url: bytes, fields: dict[bytes, bytes], reason: str) -> None:
     found = DIALECT.read_request("GET", url, head(fields, of_caller=True), b"")
     assert found == BadRequest(400, reason)
 
 
-def test_a_request_says_its_host_deadline_and_id_and_not_who_calls() -> None:
+def test_host_deadline_and_id_come_from_the_request_but_not_the_caller() -> None:
     fields = {
         b"Host": b"Shop.Example:80",
         b"X-Deadline-Ms": b"800",
@@ -98,7 +96,7 @@
     assert found.trace[3:35] == "0a1b".rjust(32, "0")
 
 
-def test_final_answers_promise_only_what_is_true() -> None:
+def test_final_answer_does_not_invite_a_retry_of_a_call_that_may_have_run() -> None:
     status, headers, _ = DIALECT.answer(NotRun("full", 0.25), "")
     assert (status, dict(headers)) == (503, {b"Retry-After": b"0.250"})
     assert DIALECT.answer(NotRun("deadline-passed", 0.0, status=504), "")[0] == 503
--- a/tests/adapter/test_numbers.py
+++ b/tests/adapter/test_numbers.py
@@ -1,8 +1,6 @@
-"""Numbers that carry a fraction, wherever the platform tells one.
+"""Counts and times of the platform may have a fraction, in settings, headers and bodies.
 
-Symptom: no daemon of a deployment started. The settings gave the retries that all daemons may make
-in a window as 30.714285714285715, since that count is shared out by the size of the fleet, and the
-settings took whole numbers only: 14 of 14 processes ended at once.
+Guards against daemons that do not start because the settings accept whole numbers only.
 """
 
 from __future__ import annotations
@@ -24,7 +22,7 @@
 from tests.unit.daemon.calls import head_of
 
 TEMPLATE = (Path(__file__).resolve().parents[2] / "deploy" / "settings.ini").read_text()
-PLACES = {
+PLACEHOLDERS = {
     "{{node_name}}": "kasa-1",
     "{{zone}}": "kadikoy",
     "{{listen.outbound}}": "10.0.0.1:8304",
@@ -41,11 +39,11 @@
 }
 
 
-def filled(slack: str, window: str) -> str:
+def settings_text(slack: str, window: str) -> str:
     text = TEMPLATE
-    gaps = {"{{bounds.retry_budget_slack}}": slack, "{{bounds.budget_window_s}}": window}
-    for gap, value in {**PLACES, **gaps}.items():
-        text = text.replace(gap, value)
+    tested = {"{{bounds.retry_budget_slack}}": slack, "{{bounds.budget_window_s}}": window}
+    for placeholder, value in {**PLACEHOLDERS, **tested}.items():
+        text = text.replace(placeholder, value)
     assert "{{" not in text
     return text
 
@@ -54,8 +52,8 @@
     ("slack", "window"),
     [("430", "10"), ("30.714285714285715", "10"), ("0.5", "2.5"), ("430.0", "0.25"), ("4e2", "1")],
 )
-def test_settings_take_counts_and_times_with_a_fraction(slack: str, window: str) -> None:
-    settings, faults = parse_settings(filled(slack, window), "node.ini")
+def test_settings_accept_counts_and_times_with_a_fraction(slack: str, window: str) -> None:
+    settings, faults = parse_settings(settings_text(slack, window), "node.ini")
     assert faults == []
     assert settings["platform"]["retry_slack"] == float(slack)
     assert settings["platform"]["retry_window_s"] == float(window)
@@ -65,16 +63,16 @@
 
 
 @pytest.mark.parametrize("slack", ["nan", "inf", "-1", "many"])
-def test_settings_refuse_what_is_no_count(slack: str) -> None:
-    faults = parse_settings(filled(slack, "10"), "node.ini")[1]
+def test_settings_reject_an_invalid_count(slack: str) -> None:
+    faults = parse_settings(settings_text(slack, "10"), "node.ini")[1]
     assert [(fault.section, fault.option) for fault in faults] == [("platform", "retry_slack")]
 
 
 @pytest.mark.parametrize(
-    ("told", "counted"), [(0, 0), (0.4, 1), (1, 1), (5.0, 5), (5.9, 5), (0.0, 0), (-2, 0)]
+    ("count", "expected"), [(0, 0), (0.4, 1), (1, 1), (5.0, 5), (5.9, 5), (0.0, 0), (-2, 0)]
 )
-def test_a_part_of_one_counts_as_one(told: float, counted: int) -> None:
-    assert whole_count(told) == counted
+def test_counts_are_rounded_down_but_not_to_zero(count: float, expected: int) -> None:
+    assert whole_count(count) == expected
 
 
 @pytest.mark.parametrize(
@@ -89,21 +87,21 @@
         (b"nan", None),
     ],
 )
-def test_a_number_in_a_header_is_plain(header: bytes, number: float | None) -> None:
+def test_header_number_is_a_plain_decimal(header: bytes, number: float | None) -> None:
     assert parse_number(header) == number
 
 
-def test_a_target_may_tell_its_slots_with_a_fraction() -> None:
-    beat = {
+def test_heartbeat_may_have_slots_with_a_fraction() -> None:
+    heartbeat = {
         "info": {"service": "kasa", "slots": 4.5},
         "status": {"state": "ready", "sequence": 3, "cold_remaining_s": 0.25},
     }
-    announced = _announcement("i-1", _HEARTBEATS.decode(json.dumps(beat)))
+    announced = _announcement("i-1", _HEARTBEATS.decode(json.dumps(heartbeat)))
     assert announced["slots"] == 4
     assert announced["cold_ms"] == 250
 
 
-def test_a_configuration_may_hold_counts_with_a_fraction() -> None:
+def test_configuration_may_have_counts_with_a_fraction() -> None:
     route: dict[str, Any] = {
         "path_prefix": "/a/",
         "route_type": "safe",
@@ -129,7 +127,7 @@
 @pytest.mark.parametrize(
     ("deadline", "budget_s"), [(b"800", 0.8), (b"812.5", 0.8125), (b"0", -1.0), (b"0.0", -1.0)]
 )
-def test_a_deadline_may_have_a_fraction(deadline: bytes, budget_s: float) -> None:
+def test_deadline_may_have_a_fraction(deadline: bytes, budget_s: float) -> None:
     dialect = PlatformDialect("kasa")
     head = head_of(dialect.caller_rules, {b"Host": b"h", b"X-Deadline-Ms": deadline})
     req = dialect.read_request("GET", b"/a/1", head, b"")
@@ -137,7 +135,7 @@
     assert req.budget_s == budget_s
 
 
-def test_the_pace_may_have_a_fraction() -> None:
+def test_pace_may_have_a_fraction() -> None:
     dialect = PlatformDialect("kasa")
     head = head_of(dialect.upstream_rules, {b"X-Server-Load": b"1,0,12,112.5"})
     assert dialect.sample(200, head).pace == 112
--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -1,4 +1,4 @@
-"""The client of the store: versions, registrations, and a store that fails."""
+"""Tests of the store client: configurations, registrations and failures of the store."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def stored(test: Callable[[KeyedLog, LogStore], Awaitable[None]]) -> Callable[[], None]:
-    """Run a test with a store of its own and a client."""
+    """Return a test that runs `test` with a new store and a client of it."""
 
     async def run() -> None:
         log = KeyedLog()
@@ -47,7 +47,9 @@
 
 
 @stored
-async def test_the_newest_version_is_read_then_only_news(log: KeyedLog, client: LogStore) -> None:
+async def test_newest_version_is_read_first_and_then_only_later_ones(
+    log: KeyedLog, client: LogStore
+) -> None:
     assert (await client.newest()).ok.version is None
     await log.put("keyed.op", "config", content(0x1F))
     assert (await client.news(2000)).ok.version == Version(0x1F, content(0x1F))
@@ -59,7 +61,7 @@
 
 
 @stored
-async def test_a_record_without_a_number_is_passed_over(log: KeyedLog, client: LogStore) -> None:
+async def test_configuration_without_a_version_is_ignored(log: KeyedLog, client: LogStore) -> None:
     await client.newest()
     await log.put("keyed.op", "config", content(5))
     await log.put("keyed.op", "config", b"{}")
@@ -68,7 +70,9 @@
 
 
 @stored
-async def test_when_history_is_gone_the_newest_is_read(log: KeyedLog, client: LogStore) -> None:
+async def test_newest_version_is_read_if_older_records_have_expired(
+    log: KeyedLog, client: LogStore
+) -> None:
     await client.newest()
     await log.put("keyed.op", "config", content(7))
     log.forget("keyed.op")
@@ -78,7 +82,7 @@
 
 
 @stored
-async def test_a_store_that_refuses_was_not_changed_one_that_is_silent_may_be(
+async def test_fault_says_whether_the_store_may_have_been_changed(
     log: KeyedLog, client: LogStore
 ) -> None:
     mine = Registration("a", "life", "a:1", "one", (UpstreamIncarnation("i-1", 5),))
@@ -95,7 +99,7 @@
 
 
 @stored
-async def test_an_answer_that_came_while_this_process_stood_still_counts(
+async def test_answer_that_arrives_while_the_process_is_paused_counts(
     log: KeyedLog, client: LogStore
 ) -> None:
     await log.put("keyed.op", "config", content(7))
@@ -105,9 +109,7 @@
 
 
 @stored
-async def test_records_that_are_none_of_ours_are_passed_over(
-    log: KeyedLog, client: LogStore
-) -> None:
+async def test_invalid_registrations_are_ignored(log: KeyedLog, client: LogStore) -> None:
     await log.put("keyed.daemons", "old", b'{"name":"old"}')
     await log.put("keyed.daemons", "junk", b"\x00")
     mine = Registration("a", "life", "a:1", "one")
@@ -116,25 +118,25 @@
     assert (await client.registrations()).ok == [mine._replace(frames="a:2")]
 
 
-def translated(**more: object) -> str:
-    body = {**BODY, "version": "1", **more}
+def translation_error(**fields: object) -> str:
+    body = {**BODY, "version": "1", **fields}
     found = translate(Version(1, json.dumps(body).encode()))
     return found.error if found.is_error() else ""
 
 
-def test_a_configuration_is_taken_whole_or_not_at_all() -> None:
+def test_invalid_route_rejects_the_whole_configuration() -> None:
     good = {"host": "x", "route_paths": [route()]}
-    assert translated(virtual_hosts=[good]) == ""
+    assert translation_error(virtual_hosts=[good]) == ""
     for bad in (
         {"host": "x"},
         {"host": "x", "route_paths": [{"path_prefix": "/a/"}]},
         {"host": "x", "route_paths": [route(service="")]},
         {"host": "x", "route_paths": [route(timeout_s="soon")]},
     ):
-        assert "is no configuration" in translated(virtual_hosts=[good, bad])
+        assert "is no configuration" in translation_error(virtual_hosts=[good, bad])
 
 
-def test_fields_that_are_not_known_are_ignored() -> None:
+def test_unknown_fields_are_ignored() -> None:
     found = translate(Version(1, content(1)[:-1] + b', "new": {"x": 1}}'))
     assert found.is_ok()
     assert list(found.ok["services"]) == ["shop"]
