--- a/foldhoist/daemon/versions_task.py
+++ b/foldhoist/daemon/versions_task.py
@@ -213,7 +213,7 @@
         if self._answered_at == float("-inf"):
             answer = await self._store.newest(self._answer_s)
         else:
-            answer = await self._store.news(self._news_wait_ms(), self._answer_s)
+            answer = await self._store.poll(self._news_wait_ms(), self._answer_s)
         if answer.is_error():
             self._failed(answer.error)
             return False
--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -50,12 +50,12 @@
 async def test_the_newest_version_is_read_then_only_news(log: KeyedLog, client: LogStore) -> None:
     assert (await client.newest()).ok.version is None
     await log.put("keyed.op", "config", content(0x1F))
-    assert (await client.news(2000)).ok.version == Version(0x1F, content(0x1F))
-    assert (await client.news(10)).ok.version is None
+    assert (await client.poll(2000)).ok.version == Version(0x1F, content(0x1F))
+    assert (await client.poll(10)).ok.version is None
     await log.put("keyed.op", "config", content(0x20))
     await log.put("keyed.op", "other", b"x")
     await log.put("keyed.op", "config", content(0x30))
-    assert (await client.news(2000)).ok.version == Version(0x30, content(0x30))
+    assert (await client.poll(2000)).ok.version == Version(0x30, content(0x30))
 
 
 @stored
@@ -64,7 +64,7 @@
     await log.put("keyed.op", "config", content(5))
     await log.put("keyed.op", "config", b"{}")
     await log.put("keyed.op", "config", b"\xff")
-    assert (await client.news(2000)).ok.version == Version(5, content(5))
+    assert (await client.poll(2000)).ok.version == Version(5, content(5))
 
 
 @stored
@@ -72,9 +72,9 @@
     await client.newest()
     await log.put("keyed.op", "config", content(7))
     log.forget("keyed.op")
-    assert (await client.news(2000)).ok.version == Version(7, content(7))
+    assert (await client.poll(2000)).ok.version == Version(7, content(7))
     await log.put("keyed.op", "config", content(8))
-    assert (await client.news(2000)).ok.version == Version(8, content(8))
+    assert (await client.poll(2000)).ok.version == Version(8, content(8))
 
 
 @stored
