--- a/foldhoist/daemon/ports.py
+++ b/foldhoist/daemon/ports.py
@@ -65,19 +65,19 @@
         """Close every connection."""
 
 
-class Announcements(Protocol):
+class AnnouncementHandler(Protocol):
     """What endpoints hand on; an answer may be given when the call returns."""
 
-    async def heard(self, announced: Announced) -> bool:
+    async def on_announcement(self, announced: Announced) -> bool:
         """Take in what the upstream says of itself; returns whether that names an upstream."""
 
-    async def left(self, instance: str, born_ms: int) -> bool:
+    async def on_departure(self, instance: str, born_ms: int) -> bool:
         """Take in that a life of the upstream is over; returns whether that is acknowledged.
 
         `born_ms` is its start, milliseconds of wall clock, 0 if it names its id alone.
         """
 
-    def passed_over(self, fault: str) -> None:
+    def on_invalid(self, fault: str) -> None:
         """Count a word that names no upstream, and log it if there are not too many."""
 
 
@@ -103,7 +103,7 @@
 
     def listen(
         self,
-        announcements: Announcements,
+        announcements: AnnouncementHandler,
         is_ready: Callable[[], bool],
         metrics: Callable[[], bytes],
     ) -> Endpoints:
--- a/foldhoist/daemon/upstream_task.py
+++ b/foldhoist/daemon/upstream_task.py
@@ -111,7 +111,7 @@
             "cold_ms": 0,
         }
 
-    async def heard(self, announced: Announced) -> bool:
+    async def on_announcement(self, announced: Announced) -> bool:
         """Take in an announcement; returns when a leaving may be acknowledged.
 
         Returns False if it names no upstream: no configuration knows the service. Who leaves is
@@ -139,13 +139,13 @@
             await self._until_noted(announced["instance"])
         return True
 
-    def passed_over(self, fault: str) -> None:
+    def on_invalid(self, fault: str) -> None:
         """Count a word that names no upstream, and log it if there are not too many."""
         self.count.passed_over += 1
         if self._lines.take(self._loop.time()):
             logger.warning("a word on the upstream is passed over: {}", fault[:LONGEST_FAULT])
 
-    async def left(self, instance: str, born_ms: int) -> bool:
+    async def on_departure(self, instance: str, born_ms: int) -> bool:
         """Take in that a life of the upstream is over; returns when that may be acknowledged.
 
         Returns False if it is not acknowledged: it may be a late word of the life before.
--- a/tests/unit/daemon/test_upstream_task.py
+++ b/tests/unit/daemon/test_upstream_task.py
@@ -100,11 +100,11 @@
 @played
 async def test_a_leaving_said_again_is_acknowledged_no_sooner_than_the_first_time() -> None:
     around = Around()
-    await around.task.heard(announced("ready", 1))
-    first = asyncio.ensure_future(around.task.heard(announced("leaving", 2)))
+    await around.task.on_announcement(announced("ready", 1))
+    first = asyncio.ensure_future(around.task.on_announcement(announced("leaving", 2)))
     await turns()
-    again = asyncio.ensure_future(around.task.heard(announced("leaving", 3)))
-    deleted = asyncio.ensure_future(around.task.left("i-1", 0))
+    again = asyncio.ensure_future(around.task.on_announcement(announced("leaving", 3)))
+    deleted = asyncio.ensure_future(around.task.on_departure("i-1", 0))
     await turns()
     assert not first.done()
     assert not again.done()
@@ -118,8 +118,8 @@
     around = Around()
     around.peers.fails = 2
     around.peers.may_write.set()
-    await around.task.heard(announced("ready", 1))
-    await around.task.heard(announced("leaving", 2))
+    await around.task.on_announcement(announced("ready", 1))
+    await around.task.on_announcement(announced("leaving", 2))
     assert around.peers.writes == 3
 
 
@@ -127,7 +127,7 @@
 async def test_a_new_life_does_not_serve_on_the_stores_word_alone() -> None:
     """The store was away when the leaving was acknowledged; only a peer has noted it."""
     around = Around(first=False)
-    await around.task.heard(announced("ready", 5))
+    await around.task.on_announcement(announced("ready", 5))
     around.task.store_answered((), {"b"})
     assert around.owner.told == []
     assert around.task.described()["instance"] == ""
@@ -138,7 +138,7 @@
 @played
 async def test_a_new_life_serves_when_all_peers_say_that_they_know_nothing() -> None:
     around = Around(first=False)
-    await around.task.heard(announced("ready", 5))
+    await around.task.on_announcement(announced("ready", 5))
     around.task.store_answered((), {"b", "c"})
     around.task.peer_answered("b", ())
     assert around.owner.told == []
