--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -297,7 +297,7 @@
             "data_centre": self.data_centre,
             "version": self.versions.version.number,
             "evacuated_at": self.versions.evacuations.at,
-            "upstream": self.upstream.described(),
+            "upstream": self.upstream.announcement(),
             "ended": self.upstream.known.ended.rows(),
         }
 
@@ -364,7 +364,7 @@
         for link, name in self.owner_task.ingresses():
             if name not in told:
                 self.messages.tell(link, name)
-        service = self.upstream.described()["service"]
+        service = self.upstream.announcement()["service"]
         if service != self._announced_service:
             self._announced_service = service
             self.peers.announce()
--- a/foldhoist/daemon/peer_messages.py
+++ b/foldhoist/daemon/peer_messages.py
@@ -29,7 +29,7 @@
                 if ended is not None:
                     daemon.links.send(name, "Remembered", {"ended": ended})
             case "Remembered":
-                daemon.upstream.remember(incarnations_from_rows(body["ended"]))
+                daemon.upstream.add_ended(incarnations_from_rows(body["ended"]))
             case "Noted":
                 daemon.upstream.peer_answered(name, incarnations_from_rows(body["ended"]))
             case "Versioned":
@@ -48,7 +48,7 @@
             case "Member":
                 self._member(link, body)
             case "Remembered":
-                daemon.upstream.remember(incarnations_from_rows(body["ended"]))
+                daemon.upstream.add_ended(incarnations_from_rows(body["ended"]))
             case "Versioned":
                 daemon.versions.on_versioned(daemon.owner.peer_name(link), body)
             case "Crashes":
--- a/foldhoist/daemon/upstream_task.py
+++ b/foldhoist/daemon/upstream_task.py
@@ -96,7 +96,7 @@
         for task in self._stores:
             task.cancel()
 
-    def described(self) -> Announced:
+    def announcement(self) -> Announced:
         """Return what peers are told; an upstream that may not be used yet is not named."""
         current = self.known.current
         if current is not None and self._settled:
@@ -179,7 +179,7 @@
         self._loop.call_later(PEERS_S, self._waited)
         self._take_ended(ended)
 
-    def remember(self, ended: Iterable[UpstreamIncarnation]) -> None:
+    def add_ended(self, ended: Iterable[UpstreamIncarnation]) -> None:
         """Take in what a peer knows of this daemon's earlier lives."""
         self._barrier.peer_remembered()
         self._take_ended(ended)
--- a/tests/adapter/test_neighbours.py
+++ b/tests/adapter/test_neighbours.py
@@ -24,7 +24,7 @@
     return all(
         {*daemon.registry.peers, name} == names
         and daemon.versions.fleet is not None
-        and daemon.upstream.described()["instance"] != ""
+        and daemon.upstream.announcement()["instance"] != ""
         for name, daemon in cluster.daemons.items()
     )
 
--- a/tests/unit/daemon/test_upstream_task.py
+++ b/tests/unit/daemon/test_upstream_task.py
@@ -130,8 +130,8 @@
     await around.task.on_announcement(announced("ready", 5))
     around.task.store_answered((), {"b"})
     assert around.owner.told == []
-    assert around.task.described()["instance"] == ""
-    around.task.remember([UpstreamIncarnation("i-1")])
+    assert around.task.announcement()["instance"] == ""
+    around.task.add_ended([UpstreamIncarnation("i-1")])
     assert around.owner.told == ["leaving"]
 
 
