--- a/bench/stages.py
+++ b/bench/stages.py
@@ -15,7 +15,7 @@
 from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import parse_fleet
 from foldhoist.config.options import load_schema
-from foldhoist.daemon.callers import CallerConnection, Shared
+from foldhoist.daemon.callers import CallerConnection, ServerState
 from foldhoist.daemon.frames import FrameConnection
 from foldhoist.daemon.ingress_task import IngressTask
 from foldhoist.daemon.owner_task import OwnerTask
@@ -147,9 +147,9 @@
         self.upstream.connection_made(self.upstream_wire)
         self.upstream.idle_since = float("inf")
         self.owner_task.pool._idle.append(self.upstream)
-        self.shared = Shared(cfg["limits"], self.task.arrive, self.task.gone)
+        self.callers = ServerState(cfg["limits"], self.task.arrive, self.task.gone)
         self.caller_wire = FakeTransport()
-        self.caller = CallerConnection(self.shared)
+        self.caller = CallerConnection(self.callers)
         self.caller.connection_made(self.caller_wire)
 
     def hop(self, call: Any) -> None:
--- a/foldhoist/daemon/callers.py
+++ b/foldhoist/daemon/callers.py
@@ -48,7 +48,7 @@
     unread: int = 0
 
 
-class Shared:
+class ServerState:
     """What all caller connections of a daemon share."""
 
     def __init__(
@@ -68,12 +68,12 @@
         self.behind: set[CallerConnection] = set()
         self.closing = False
 
-    def adopt(self, limits: Limits) -> None:
+    def set_limits(self, limits: Limits) -> None:
         """Take over limits; what is held already stays."""
         self.limits = limits
         self.bodies.limit = limits["held_bytes"]
 
-    async def close_late(self) -> None:
+    async def close_overdue(self) -> None:
         """Close connections that take too long; one look for all is cheaper than timers."""
         while True:
             await asyncio.sleep(LOOK_S)
@@ -104,8 +104,8 @@
 class CallerConnection(asyncio.Protocol):
     """A caller's connection: parses requests, writes answers, enforces the limits."""
 
-    def __init__(self, shared: Shared) -> None:
-        self._shared = shared
+    def __init__(self, state: ServerState) -> None:
+        self._state = state
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
         self.due = float("inf")
@@ -126,42 +126,42 @@
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.set_write_buffer_limits(high=BEHIND_BYTES)
-        shared = self._shared
-        shared.count.connections += 1
-        shared.open.add(self)
-        if len(shared.open) > shared.limits["callers"]:
-            shared.count.refused_connections += 1
+        state = self._state
+        state.count.connections += 1
+        state.open.add(self)
+        if len(state.open) > state.limits["callers"]:
+            state.count.refused_connections += 1
             self._fail(BadRequest(503, "too-many-connections"))
             return
-        self._set_timer(shared.limits["idle_ms"])
+        self._set_timer(state.limits["idle_ms"])
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Withdraw the call that nobody waits for any more."""
-        self._shared.open.discard(self)
-        self._shared.behind.discard(self)
+        self._state.open.discard(self)
+        self._state.behind.discard(self)
         self._transport = None
         held = self._body_bytes + sum(each.body_bytes for each in self._unanswered)
-        self._shared.bodies.release(held)
+        self._state.bodies.release(held)
         self._body_bytes = 0
         self._unanswered.clear()
         if self._call_id is not None:
-            self._shared.on_gone(self._call_id)
+            self._state.on_gone(self._call_id)
             self._call_id = None
 
     def pause_writing(self) -> None:
         """Note that the caller leaves answers unread."""
-        self._shared.behind.add(self)
+        self._state.behind.add(self)
 
     def resume_writing(self) -> None:
         """Note that the caller has read what was left."""
-        self._shared.behind.discard(self)
+        self._state.behind.discard(self)
 
     def data_received(self, data: bytes) -> None:
         """Parse; a request that breaks the rules is answered with a refusal and the end."""
         if self._ended:
             return
         if not self._in_request and not self._busy:
-            self._set_timer(self._shared.limits["request_ms"])
+            self._set_timer(self._state.limits["request_ms"])
         self._in_request = True
         if not self._head_done:
             self._head_bytes += len(data)
@@ -172,7 +172,7 @@
         except (httptools.HttpParserError, _TooLargeError) as exc:
             self._reject(_fault_of(exc))
             return
-        if not self._head_done and self._head_bytes > self._shared.limits["header_bytes"]:
+        if not self._head_done and self._head_bytes > self._state.limits["header_bytes"]:
             self._reject(BadRequest(431, "headers-too-large"))
 
     def eof_received(self) -> bool:
@@ -189,32 +189,32 @@
     def on_url(self, url: bytes) -> None:
         """Take in a piece of the request target."""
         self._url += url
-        if len(self._url) > self._shared.limits["header_bytes"]:
+        if len(self._url) > self._state.limits["header_bytes"]:
             raise _TooLargeError(431, "headers-too-large")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take in a header."""
         head = self._head
         head.add(name, value)
-        if head.size + len(self._url) > self._shared.limits["header_bytes"]:
+        if head.size + len(self._url) > self._state.limits["header_bytes"]:
             raise _TooLargeError(431, "headers-too-large")
 
     def on_headers_complete(self) -> None:
         """Invite the body if the caller waits for that."""
         self._head_done = True
         if not self._busy:
-            self._set_timer(self._shared.limits["request_ms"])
+            self._set_timer(self._state.limits["request_ms"])
         if self._head.said.get(b"expect", b"").lower() == b"100-continue":
             self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
         """Take in a piece of the body."""
         size = self._body_bytes + len(body)
-        if size > self._shared.limits["body_bytes"]:
+        if size > self._state.limits["body_bytes"]:
             raise _TooLargeError(413, "body-too-large")
-        if not self._shared.bodies.has_room(len(body), size):
+        if not self._state.bodies.has_room(len(body), size):
             raise _TooLargeError(503, "bodies-full")
-        self._shared.bodies.reserve(len(body))
+        self._state.bodies.reserve(len(body))
         self._body_bytes = size
         self._body.append(body)
 
@@ -230,7 +230,7 @@
         if upgrade:
             self._waiting.append(BadRequest(400, "upgrade-not-supported"))
         else:
-            dialect = self._shared.dialect
+            dialect = self._state.dialect
             self._waiting.append(dialect.read_request(method, self._url, self._head, body))
         self._reset()
         if len(self._waiting) > MOST_PIPELINED and self._transport is not None:
@@ -248,13 +248,13 @@
         self._call_id = None
         self._busy = False
         answered = self._unanswered.popleft()
-        keep = answered.keep_alive and not self._shared.closing
-        self._shared.bodies.release(answered.body_bytes)
-        self._write(_answer_bytes(self._shared.dialect, verdict, trace, self._method, keep))
+        keep = answered.keep_alive and not self._state.closing
+        self._state.bodies.release(answered.body_bytes)
+        self._write(_answer_bytes(self._state.dialect, verdict, trace, self._method, keep))
         if not keep:
             self._end()
             return
-        self._set_timer(self._shared.limits["idle_ms"])
+        self._set_timer(self._state.limits["idle_ms"])
         if self._transport is not None and len(self._waiting) <= MOST_PIPELINED:
             self._transport.resume_reading()
         self._next()
@@ -290,11 +290,11 @@
             self._fail(req)
             return
         self._method = req.method
-        self._shared.on_request(self, req)
+        self._state.on_request(self, req)
 
     def _reset(self) -> None:
         self._url = b""
-        self._head = HeadReader(self._shared.dialect.caller_rules)
+        self._head = HeadReader(self._state.dialect.caller_rules)
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._head_bytes = 0
@@ -310,13 +310,13 @@
 
     def _fail(self, bad: BadRequest) -> None:
         if bad.reason == "bodies-full":
-            self._shared.count.bodies_full += 1
+            self._state.count.bodies_full += 1
         elif bad.status in (413, 431):
-            self._shared.count.too_large += 1
+            self._state.count.too_large += 1
         else:
-            self._shared.count.bad += 1
+            self._state.count.bad += 1
         verdict = NotRun(bad.reason, 1.0 if bad.status == 503 else 0.0, bad.status)
-        self._write(_answer_bytes(self._shared.dialect, verdict, "", "", keep=False))
+        self._write(_answer_bytes(self._state.dialect, verdict, "", "", keep=False))
         self._end()
 
     def late(self) -> None:
@@ -324,7 +324,7 @@
         if self._busy:
             return
         if self._in_request:
-            self._shared.count.slow += 1
+            self._state.count.slow += 1
             self._fail(BadRequest(408, "request-too-slow"))
             return
         self._end()
--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -16,7 +16,7 @@
 from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import evacuated
 from foldhoist.config.reread import LIMITS, reread
-from foldhoist.daemon.callers import CallerConnection, Shared
+from foldhoist.daemon.callers import CallerConnection, ServerState
 from foldhoist.daemon.configuration import ConfigurationTask
 from foldhoist.daemon.control import Control
 from foldhoist.daemon.figures import traffic_counters, traffic_gauges
@@ -139,7 +139,7 @@
         self.addresses["operators"] = self.operators.address
         for task in (self.configuration, self.handover, self.prober, self.owner_task):
             task.start()
-        self._late_task = asyncio.get_running_loop().create_task(self.shared.close_late())
+        self._late_task = asyncio.get_running_loop().create_task(self.callers.close_overdue())
         self._counters_task = asyncio.get_running_loop().create_task(self._log_counters())
         self._quiet_collector()
         logger.info("daemon {} started, incarnation {}", self.name, self.incarnation)
@@ -154,15 +154,15 @@
         self.draining = True
         logger.info("draining")
         self.owner_task.set_leaving("drain")
-        self.shared.closing = True
+        self.callers.closing = True
         loop = asyncio.get_running_loop()
         limit = loop.time() + self.cfg["limits"]["drain_ms"] / 1000
         await self._wait_until(lambda: not self.owner.calls, limit)
         self._servers[0].close()
         quiet = min(limit, loop.time() + QUIET_S)
-        await self._wait_until(lambda: not self.shared.open, quiet)
-        await self._wait_until(lambda: all(conn.idle for conn in self.shared.open), limit)
-        for conn in list(self.shared.open):
+        await self._wait_until(lambda: not self.callers.open, quiet)
+        await self._wait_until(lambda: all(conn.idle for conn in self.callers.open), limit)
+        for conn in list(self.callers.open):
             conn.close()
         await self.owner_task.part(limit)
         await asyncio.sleep(REPLY_GRACE_S)
@@ -174,7 +174,7 @@
         log_reread(found)
         self.cfg = found.cfg
         limits = found.cfg["limits"]
-        self.shared.adopt(limits)
+        self.callers.set_limits(limits)
         self.ingress_task.ingress.admission.max_calls = limits["calls"]
         self._bodies.limit = limits["held_bytes"]
 
@@ -200,7 +200,7 @@
     def counters(self) -> dict[str, dict[str, int]]:
         """Return all counters, by part."""
         return {
-            **traffic_counters(self.ingress_task, self.owner_task, self.shared),
+            **traffic_counters(self.ingress_task, self.owner_task, self.callers),
             "control": counters_of(self.control.count),
             "configuration": counters_of(self.configuration.count),
             "prober": counters_of(self.prober.count),
@@ -210,7 +210,7 @@
     def gauges(self) -> dict[str, float]:
         """Return what rises and falls."""
         return {
-            **traffic_gauges(self.ingress_task, self.owner_task, self.shared, self.links),
+            **traffic_gauges(self.ingress_task, self.owner_task, self.callers, self.links),
             "generation": self.configuration.state.generation,
         }
 
@@ -219,10 +219,10 @@
     async def _listen(self) -> None:
         cfg = self.cfg
         loop = asyncio.get_running_loop()
-        self.shared = Shared(cfg["limits"], self.ingress_task.arrive, self.ingress_task.gone)
+        self.callers = ServerState(cfg["limits"], self.ingress_task.arrive, self.ingress_task.gone)
         host, port = _split(cfg["listen"]["callers"])
         callers = await loop.create_server(
-            lambda: CallerConnection(self.shared), host, port, backlog=1024
+            lambda: CallerConnection(self.callers), host, port, backlog=1024
         )
         host, port = _split(cfg["listen"]["frames"])
         frames = await loop.create_server(self.owner_task.connection, host, port, backlog=1024)
--- a/foldhoist/daemon/figures.py
+++ b/foldhoist/daemon/figures.py
@@ -7,26 +7,26 @@
 from foldhoist.observe.counters import counters_of
 
 if TYPE_CHECKING:
-    from foldhoist.daemon.callers import Shared
+    from foldhoist.daemon.callers import ServerState
     from foldhoist.daemon.ingress_task import IngressTask
     from foldhoist.daemon.links import Links
     from foldhoist.daemon.owner_task import OwnerTask
 
 
 def traffic_counters(
-    ingress_task: IngressTask, owner_task: OwnerTask, shared: Shared
+    ingress_task: IngressTask, owner_task: OwnerTask, callers: ServerState
 ) -> dict[str, dict[str, int]]:
     """Return the counters of calls, by part."""
     return {
         "ingress": counters_of(ingress_task.ingress.count),
         "owner": counters_of(owner_task.owner.count),
         "sampler": counters_of(owner_task.sampler.count),
-        "callers": counters_of(shared.count),
+        "callers": counters_of(callers.count),
     }
 
 
 def traffic_gauges(
-    ingress_task: IngressTask, owner_task: OwnerTask, shared: Shared, links: Links
+    ingress_task: IngressTask, owner_task: OwnerTask, callers: ServerState, links: Links
 ) -> dict[str, float]:
     """Return what rises and falls with calls."""
     owner = owner_task.owner
@@ -35,7 +35,7 @@
         "owner_busy": owner.queue.busy,
         "owner_queued": owner.queue.queued,
         "links": len(links.open()),
-        "caller_connections": len(shared.open),
+        "caller_connections": len(callers.open),
         "upstream_connections": owner_task.pool.open,
         "leaving": float(owner.leaving),
     }
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -17,7 +17,7 @@
 from foldhoist.config.fleet import evacuated, limits_of
 from foldhoist.config.reread import LIMITS, reread
 from foldhoist.configlog.versions import ReaderElection
-from foldhoist.daemon.callers import CallerConnection, Shared
+from foldhoist.daemon.callers import CallerConnection, ServerState
 from foldhoist.daemon.figures import traffic_counters, traffic_gauges
 from foldhoist.daemon.ingress_task import IngressTask
 from foldhoist.daemon.links import LinkEvents, Links
@@ -131,7 +131,7 @@
         self.versions.start(self.peers, cfg["platform"]["first_start"])
         self.owner_task.start()
         self.ingress_task.local_up(self.incarnation)
-        self._late_task = asyncio.get_running_loop().create_task(self.shared.close_late())
+        self._late_task = asyncio.get_running_loop().create_task(self.callers.close_overdue())
         gc.collect()
         gc.freeze()
         gc.set_threshold(20_000, 20, 50)
@@ -156,7 +156,7 @@
         self.quotas.keeper.slack = platform["quota_slack"]
         self._track()
         if self.versions.fleet is not None:
-            self.shared.adopt(limits_of(limits, self.versions.fleet))
+            self.callers.set_limits(limits_of(limits, self.versions.fleet))
 
     async def stop(self) -> None:
         """Close every socket and end every task."""
@@ -182,7 +182,7 @@
     def counters(self) -> dict[str, dict[str, int]]:
         """Return all counters, by part."""
         return {
-            **traffic_counters(self.ingress_task, self.owner_task, self.shared),
+            **traffic_counters(self.ingress_task, self.owner_task, self.callers),
             "configuration": counters_of(self.versions.count),
             "quotas": self.quotas.counters(),
             "upstream": counters_of(self.upstream.count),
@@ -192,7 +192,7 @@
     def gauges(self) -> dict[str, float]:
         """Return what rises and falls."""
         return {
-            **traffic_gauges(self.ingress_task, self.owner_task, self.shared, self.links),
+            **traffic_gauges(self.ingress_task, self.owner_task, self.callers, self.links),
             "version": self.versions.version.number,
             "evacuated": len(self.versions.evacuations.data_centres),
             "peers": len(self.registry.peers),
@@ -262,10 +262,10 @@
         cfg = self.cfg
         loop = asyncio.get_running_loop()
         task = self.ingress_task
-        self.shared = Shared(cfg["limits"], task.arrive, task.gone, self.adapter.dialect)
+        self.callers = ServerState(cfg["limits"], task.arrive, task.gone, self.adapter.dialect)
         self._servers: list[asyncio.Server] = []
         makers = {
-            "callers": lambda: CallerConnection(self.shared),
+            "callers": lambda: CallerConnection(self.callers),
             "frames": self.owner_task.connection,
         }
         for name, make in makers.items():
@@ -302,7 +302,7 @@
         }
 
     def _on_adopt(self, version: Version, fleet: Fleet) -> None:
-        self.shared.adopt(limits_of(self.cfg["limits"], fleet))
+        self.callers.set_limits(limits_of(self.cfg["limits"], fleet))
         own = fleet["services"].get(self.owner.service)
         if own is not None and own["health_path"]:
             self.owner_task.sampler.path = own["health_path"]
--- a/foldhoist/daemon/stopping.py
+++ b/foldhoist/daemon/stopping.py
@@ -40,13 +40,13 @@
         began = loop.time()
         limit = began + daemon.cfg["limits"]["drain_ms"] / 1000
         await self._wait_until(lambda: False, began + SERVE_S)
-        daemon.shared.closing = True
+        daemon.callers.closing = True
         daemon.ingress_task.ingress.admission.begin_shutdown(limit)
-        await self._wait_until(lambda: not daemon.shared.open, began + CLOSE_S)
+        await self._wait_until(lambda: not daemon.callers.open, began + CLOSE_S)
         daemon.owner_task.set_leaving("drain")
         daemon.close_door()
         await self._wait_until(self._all_closed, limit)
-        for conn in list(daemon.shared.open):
+        for conn in list(daemon.callers.open):
             conn.close()
         await self._wait_until(lambda: not daemon.owner.calls, limit)
         await daemon.owner_task.part(limit)
@@ -59,9 +59,9 @@
         Each is closed on its own: where callers never pause together, the last request would
         otherwise be taken just before the end and cut off.
         """
-        for conn in [conn for conn in self._daemon.shared.open if conn.idle]:
+        for conn in [conn for conn in self._daemon.callers.open if conn.idle]:
             conn.close()
-        return not self._daemon.shared.open
+        return not self._daemon.callers.open
 
     async def _wait_until(self, is_done: Callable[[], bool], limit: float) -> None:
         loop = asyncio.get_running_loop()
--- a/tests/adapter/test_reload.py
+++ b/tests/adapter/test_reload.py
@@ -55,12 +55,12 @@
         _, writer = await asyncio.open_connection(ip, int(port))
         writer.write(part)
         writers.append(writer)
-    await until(lambda: daemon.shared.bodies.used == 999 * len(writers))
+    await until(lambda: daemon.callers.bodies.used == 999 * len(writers))
     refused = await cluster.ask("a", method="POST", body=b"x" * 999)
     assert refused.status == 503
     assert float(refused.headers["retry-after"]) == 1.0
     assert (await cluster.ask("a")).status == 200
     for writer in writers:
         writer.close()
-    await until(lambda: daemon.shared.bodies.used == 0)
+    await until(lambda: daemon.callers.bodies.used == 0)
     assert (await cluster.ask("a", method="POST", body=b"x" * 999)).status == 200
--- a/tests/unit/daemon/test_callers.py
+++ b/tests/unit/daemon/test_callers.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from bench.stages import FakeTransport, default_settings
-from foldhoist.daemon.callers import CallerConnection, Shared
+from foldhoist.daemon.callers import CallerConnection, ServerState
 from foldhoist.delivery.verdict import Answered, MayHaveRun, NotRun, Response
 
 if TYPE_CHECKING:
@@ -24,9 +24,9 @@
         cfg.update(limits)  # type: ignore[typeddict-item]
         self.requests: list[CallerRequest] = []
         self.gone: list[int] = []
-        self.shared = Shared(cfg, self.took, self.gone.append)
+        self.callers = ServerState(cfg, self.took, self.gone.append)
         self.transport = FakeTransport()
-        self.conn = CallerConnection(self.shared)
+        self.conn = CallerConnection(self.callers)
         self.conn.connection_made(self.transport)
 
     def took(self, conn: CallerConnection, req: CallerRequest) -> None:
@@ -126,7 +126,7 @@
 
 def test_one_connection_too_many_is_refused_and_the_others_stay() -> None:
     wire = Wire(callers=1)
-    second = CallerConnection(wire.shared)
+    second = CallerConnection(wire.callers)
     transport = FakeTransport()
     second.connection_made(transport)
     assert transport.take().startswith(b"HTTP/1.1 503 ")
@@ -168,41 +168,41 @@
 
 def test_bodies_held_at_once_are_bounded_and_a_refused_one_may_come_back() -> None:
     wire = Wire(held_bytes=100_000)
-    first = CallerConnection(wire.shared)
+    first = CallerConnection(wire.callers)
     first.connection_made(FakeTransport())
     first.data_received(post(70_000, sent=60_000))
     text = wire.send(post(60_000, sent=50_000))
     assert text.startswith(b"HTTP/1.1 503 ")
     assert b"Foldhoist-Reason: bodies-full\r\n" in text
     assert b"Retry-After: 1\r\n" in text
-    assert wire.shared.count.bodies_full == 1
+    assert wire.callers.count.bodies_full == 1
     wire.conn.connection_lost(None)
-    assert wire.shared.bodies.used == 60_000
+    assert wire.callers.bodies.used == 60_000
     first.connection_lost(None)
-    assert wire.shared.bodies.used == 0
+    assert wire.callers.bodies.used == 0
 
 
 def test_a_body_is_held_until_its_answer() -> None:
     wire = Wire()
     wire.send(post(5000) + post(300))
-    assert wire.shared.bodies.used == 5300
+    assert wire.callers.bodies.used == 5300
     wire.conn.answer(OK, "t")
-    assert wire.shared.bodies.used == 300
+    assert wire.callers.bodies.used == 300
     wire.conn.answer(OK, "t")
-    assert wire.shared.bodies.used == 0
+    assert wire.callers.bodies.used == 0
 
 
 def test_callers_that_leave_too_much_unread_are_cut_off_the_worst_first() -> None:
     wire = Wire(held_bytes=100_000)
     transports = {size: FakeTransport() for size in (30_000, 80_000, 40_000)}
     for size, transport in transports.items():
-        conn = CallerConnection(wire.shared)
+        conn = CallerConnection(wire.callers)
         conn.connection_made(transport)
         transport.write(b"x" * size)
         conn.pause_writing()
-    wire.shared.cut_off_unread()
+    wire.callers.cut_off_unread()
     assert [size for size, transport in transports.items() if transport.aborted] == [80_000]
-    assert wire.shared.count.unread == 1
+    assert wire.callers.count.unread == 1
 
 
 def test_a_caller_that_reads_again_is_not_cut_off() -> None:
@@ -210,7 +210,7 @@
     wire.transport.write(b"x" * 200_000)
     wire.conn.pause_writing()
     wire.conn.resume_writing()
-    wire.shared.cut_off_unread()
+    wire.callers.cut_off_unread()
     assert not wire.transport.aborted
 
 
@@ -220,6 +220,6 @@
     wire.send(b"nonsense\r\n\r\n")
     wire.conn.answer(OK, "t")
     assert b"Connection: close\r\n" in wire.transport.take()
-    assert wire.shared.bodies.used == 300
+    assert wire.callers.bodies.used == 300
     wire.conn.connection_lost(None)
-    assert wire.shared.bodies.used == 0
+    assert wire.callers.bodies.used == 0
