--- a/foldhoist/daemon/callers.py
+++ b/foldhoist/daemon/callers.py
@@ -204,7 +204,7 @@
         self._head_done = True
         if not self._busy:
             self._set_timer(self._state.limits["request_ms"])
-        if self._head.said.get(b"expect", b"").lower() == b"100-continue":
+        if self._head.values.get(b"expect", b"").lower() == b"100-continue":
             self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
--- a/foldhoist/daemon/dialect.py
+++ b/foldhoist/daemon/dialect.py
@@ -118,9 +118,9 @@
 
     def result(self, status: int, head: HeadReader, body: bytes, call: StartCall) -> Result | None:
         """Return what a whole answer means; every answer belongs to the call in hand."""
-        if status == 503 and NOT_RUN in head.said:
-            return Shed(_retry_after(head.said))
-        return Complete(status, head.passed_on(), body)
+        if status == 503 and NOT_RUN in head.values:
+            return Shed(_retry_after(head.values))
+        return Complete(status, head.forwarded_headers(), body)
 
     def sample_headers(self, instance: str, address: bytes) -> Headers:
         """Return the headers of a question to the health path."""
@@ -132,7 +132,7 @@
 
     def leaves(self, head: HeadReader) -> bool:
         """Return whether an answer says that the upstream is leaving."""
-        return head.said.get(STATE) == b"leaving"
+        return head.values.get(STATE) == b"leaving"
 
 
 def _retry_after(said: dict[bytes, bytes]) -> float:
--- a/foldhoist/daemon/http.py
+++ b/foldhoist/daemon/http.py
@@ -62,9 +62,9 @@
 class HeadRules(NamedTuple):
     """Headers that are read: `taken` and those with `prefix` end here, `noted` go on."""
 
-    taken: frozenset[bytes]
-    noted: frozenset[bytes]
-    prefix: bytes
+    consumed: frozenset[bytes]
+    inspected: frozenset[bytes]
+    consumed_prefix: bytes
 
 
 OWN_RULES = HeadRules(SPOKEN, frozenset({b"retry-after"}), OWN_PREFIX)
@@ -76,13 +76,13 @@
 class HeadReader:
     """Sorts the headers of one message as they come: to pass on, to read, or to drop."""
 
-    __slots__ = ("_rules", "kept", "named", "said", "size")
+    __slots__ = ("_rules", "connection_options", "forwarded", "size", "values")
 
     def __init__(self, rules: HeadRules = OWN_RULES) -> None:
         self._rules = rules
-        self.kept: Headers = []
-        self.said: dict[bytes, bytes] = {}
-        self.named: list[bytes] = []
+        self.forwarded: Headers = []
+        self.values: dict[bytes, bytes] = {}
+        self.connection_options: list[bytes] = []
         self.size = 0
 
     def add(self, name: bytes, value: bytes) -> None:
@@ -91,24 +91,28 @@
         self.size += len(name) + len(value)
         if lower in HOP_BY_HOP:
             if lower == b"connection":
-                self.named += [part.strip().lower() for part in value.split(b",")]
+                self.connection_options += [part.strip().lower() for part in value.split(b",")]
             elif lower in (b"expect", b"keep-alive"):
-                self.said[lower] = value
+                self.values[lower] = value
             return
         rules = self._rules
-        taken = lower in rules.taken or (rules.prefix and lower.startswith(rules.prefix))
-        if taken or lower in rules.noted:
-            self.said[lower] = self.said[lower] + b", " + value if lower in self.said else value
+        taken = lower in rules.consumed or (
+            rules.consumed_prefix and lower.startswith(rules.consumed_prefix)
+        )
+        if taken or lower in rules.inspected:
+            self.values[lower] = (
+                self.values[lower] + b", " + value if lower in self.values else value
+            )
         if taken:
             return
-        self.kept.append([name, value])
+        self.forwarded.append([name, value])
 
-    def passed_on(self) -> Headers:
+    def forwarded_headers(self) -> Headers:
         """Return the headers that go on, without those that a Connection header names."""
-        drop = [name for name in self.named if name not in (b"keep-alive", b"close")]
+        drop = [name for name in self.connection_options if name not in (b"keep-alive", b"close")]
         if not drop:
-            return self.kept
-        return [pair for pair in self.kept if pair[0].lower() not in drop]
+            return self.forwarded
+        return [pair for pair in self.forwarded if pair[0].lower() not in drop]
 
 
 def write_head(first: bytes, headers: Headers, length: int | None) -> bytes:
--- a/foldhoist/daemon/request.py
+++ b/foldhoist/daemon/request.py
@@ -42,7 +42,7 @@
     method: str, url: bytes, head: HeadReader, body: bytes
 ) -> CallerRequest | BadRequest:
     """Return the request, or why it is refused."""
-    said = head.said
+    said = head.values
     if b"," in said.get(b"host", b""):
         return BadRequest(400, "several-host-headers")
     if not url.startswith(b"/"):
@@ -62,7 +62,7 @@
     return CallerRequest(
         method,
         url.decode("latin-1"),
-        head.passed_on(),
+        head.forwarded_headers(),
         body,
         -1.0 if budget_ms == 0 else (budget_ms or 0) / 1000,
         said.get(URGENT) == b"1",
--- a/foldhoist/daemon/upstream.py
+++ b/foldhoist/daemon/upstream.py
@@ -338,7 +338,7 @@
 
 def _idle_s(head: HeadReader) -> float:
     """Return how long the connection may rest, by the upstream's Keep-Alive header if any."""
-    for part in head.said.get(b"keep-alive", b"").split(b","):
+    for part in head.values.get(b"keep-alive", b"").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
             return min(IDLE_S, max(0.0, int(value) - IDLE_MARGIN_S))
