--- a/foldhoist/daemon/callers.py
+++ b/foldhoist/daemon/callers.py
@@ -15,7 +15,7 @@
 import httptools
 
 from foldhoist.admission.body_memory import BodyMemory
-from foldhoist.daemon.dialect import OwnDialect
+from foldhoist.daemon.dialect import DefaultDialect
 from foldhoist.daemon.http import HeadReader, status_line, write_head
 from foldhoist.daemon.request import BadRequest
 from foldhoist.delivery.verdict import NotRun, Verdict
@@ -58,7 +58,7 @@
         on_gone: Callable[[int], None],
         dialect: Dialect | None = None,
     ) -> None:
-        self.dialect = dialect or OwnDialect()
+        self.dialect = dialect or DefaultDialect()
         self.on_request = on_request
         self.on_gone = on_gone
         self.count = Counters()
--- a/foldhoist/daemon/dialect.py
+++ b/foldhoist/daemon/dialect.py
@@ -10,11 +10,11 @@
 from foldhoist.daemon.http import (
     BUDGET,
     CUSTOMER,
+    DEFAULT_CALLER_RULES,
+    DEFAULT_UPSTREAM_RULES,
     HOPS,
     KEY,
     NOT_RUN,
-    OWN_CALLER_RULES,
-    OWN_RULES,
     REASON,
     RETRY,
     STATE,
@@ -62,15 +62,15 @@
     def sample(self, status: int, head: HeadReader) -> Sample:
         """Return what an answer of the health path tells."""
 
-    def leaves(self, head: HeadReader) -> bool:
+    def is_leaving(self, head: HeadReader) -> bool:
         """Return whether an answer says that the upstream is leaving."""
 
 
-class OwnDialect:
+class DefaultDialect:
     """The product's own headers."""
 
-    caller_rules = OWN_CALLER_RULES
-    upstream_rules = OWN_RULES
+    caller_rules = DEFAULT_CALLER_RULES
+    upstream_rules = DEFAULT_UPSTREAM_RULES
 
     def read_request(
         self, method: str, url: bytes, head: HeadReader, body: bytes
@@ -130,7 +130,7 @@
         """Return nothing: upstreams that speak the product's own headers tell no pace."""
         return Sample(0)
 
-    def leaves(self, head: HeadReader) -> bool:
+    def is_leaving(self, head: HeadReader) -> bool:
         """Return whether an answer says that the upstream is leaving."""
         return head.values.get(STATE) == b"leaving"
 
--- a/foldhoist/daemon/http.py
+++ b/foldhoist/daemon/http.py
@@ -24,7 +24,7 @@
     }
 )
 """Headers that speak of one connection and are not passed on."""
-OWN_PREFIX = b"foldhoist-"
+HEADER_PREFIX = b"foldhoist-"
 """Headers of this project; a caller's and an upstream's are not passed on."""
 
 VERDICT = b"Foldhoist-Verdict"
@@ -67,9 +67,9 @@
     consumed_prefix: bytes
 
 
-OWN_RULES = HeadRules(SPOKEN, frozenset({b"retry-after"}), OWN_PREFIX)
+DEFAULT_UPSTREAM_RULES = HeadRules(SPOKEN, frozenset({b"retry-after"}), HEADER_PREFIX)
 """How the product's own interface reads heads."""
-OWN_CALLER_RULES = HeadRules(SPOKEN | {CREDENTIALS}, frozenset(), OWN_PREFIX)
+DEFAULT_CALLER_RULES = HeadRules(SPOKEN | {CREDENTIALS}, frozenset(), HEADER_PREFIX)
 """How it reads heads of callers."""
 
 
@@ -78,7 +78,7 @@
 
     __slots__ = ("_rules", "connection_options", "forwarded", "size", "values")
 
-    def __init__(self, rules: HeadRules = OWN_RULES) -> None:
+    def __init__(self, rules: HeadRules = DEFAULT_UPSTREAM_RULES) -> None:
         self._rules = rules
         self.forwarded: Headers = []
         self.values: dict[bytes, bytes] = {}
--- a/foldhoist/daemon/request.py
+++ b/foldhoist/daemon/request.py
@@ -70,20 +70,20 @@
         numbers.get(ISSUED, 0),
         numbers.get(HOPS, 0),
         said.get(RETRY) == b"1",
-        trace_of(said.get(TRACEPARENT, b"").decode("latin-1")),
+        next_traceparent(said.get(TRACEPARENT, b"").decode("latin-1")),
         api_key=digest_in(said.get(CREDENTIALS, b""), b"bearer"),
         withheld=([CREDENTIALS, said[CREDENTIALS]],) if CREDENTIALS in said else (),
     )
 
 
-def trace_named(name: str) -> str:
+def traceparent_of_id(name: str) -> str:
     """Return a traceparent made of a request's own id, so that one finds the other."""
     if _HEX_ID.match(name):
         return f"00-{name:0>32}-{name[-16:]:0>16}-00"
-    return trace_of("")
+    return next_traceparent("")
 
 
-def trace_of(traceparent: str) -> str:
+def next_traceparent(traceparent: str) -> str:
     """Return the traceparent of this hop: the caller's trace, or a new one, and a new span."""
     span = f"{random.getrandbits(64):016x}"
     found = _TRACEPARENT.match(traceparent) if traceparent else None
--- a/foldhoist/daemon/upstream.py
+++ b/foldhoist/daemon/upstream.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from foldhoist.daemon.dialect import OwnDialect
+from foldhoist.daemon.dialect import DefaultDialect
 from foldhoist.daemon.http import HeadReader, write_head
 from foldhoist.delivery.dispatch import Complete, Incomplete, Result, StartCall
 
@@ -38,7 +38,7 @@
         on_end: Callable[[UpstreamConnection, Result], None],
         dialect: Dialect | None = None,
     ) -> None:
-        dialect = dialect or OwnDialect()
+        dialect = dialect or DefaultDialect()
         self.ticket = 0
         self.idle_since = 0.0
         self.idle_s = IDLE_S
@@ -220,7 +220,7 @@
         on_leaving: Callable[[], None],
         dialect: Dialect | None = None,
     ) -> None:
-        self.dialect = dialect or OwnDialect()
+        self.dialect = dialect or DefaultDialect()
         self.address = address
         self.most = 200
         self.opened = 0
@@ -321,7 +321,7 @@
             self._idle.append(conn)
         elif not isinstance(result, Incomplete):
             conn.abort("not-reusable")
-        if isinstance(result, Complete) and self.dialect.leaves(conn.head):
+        if isinstance(result, Complete) and self.dialect.is_leaving(conn.head):
             self._on_leaving()
         self._on_result(conn.ticket, result)
 
