--- a/bench/stages.py
+++ b/bench/stages.py
@@ -143,7 +143,7 @@
         self.accepted.data_received(_hello_bytes(hello))
         self.link.data_received(self.from_ingress.take())
         self.upstream_wire = FakeTransport()
-        self.upstream = UpstreamConnection(1 << 20, self.owner_task.pool._ended)
+        self.upstream = UpstreamConnection(1 << 20, self.owner_task.pool._on_call_end)
         self.upstream.connection_made(self.upstream_wire)
         self.upstream.idle_since = float("inf")
         self.owner_task.pool._idle.append(self.upstream)
--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -259,7 +259,7 @@
                 target["slots"], service["queue"], service["urgent_slots"], service["urgent_run"]
             )
         )
-        self.owner_task.pool.most = target["connections"]
+        self.owner_task.pool.max_connections = target["connections"]
         rate = ColdRate(service["cold_per_s"], service["cold_ms"] / 1000)
         self.owner_task.set_cold_rate(rate)
         self.owner_task.set_evacuated(target["data_centre"] in evacuated(fleet))
--- a/foldhoist/daemon/lost_calls.py
+++ b/foldhoist/daemon/lost_calls.py
@@ -53,7 +53,7 @@
 
     async def _find_out(self) -> None:
         await asyncio.sleep(GATHER_S)
-        runs = self._pool.stands or await self._pool.reach()
+        runs = self._pool.has_connection or await self._pool.try_connect()
         lost, self._lost = self._lost, []
         self._task = None
         self._on_known(lost, not runs)
--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -143,7 +143,7 @@
         """Take in what the upstream says of itself."""
         before = self.owner.status.upstream
         if before is not None and not incarnation_of(before).is_same(incarnation_of(upstream)):
-            self.pool.forget()
+            self.pool.close_idle()
         self.sampler.instance = upstream["instance"]
         self._carry_out(self.owner.announce(self._loop.time(), upstream))
 
@@ -363,7 +363,7 @@
     async def _reach(self) -> None:
         while self.owner.status.upstream is not None:
             await asyncio.sleep(REACH_S)
-            if await self.pool.reach():
+            if await self.pool.try_connect():
                 break
         self._reaching = None
         self.set_state("warm")
--- a/foldhoist/daemon/upstream.py
+++ b/foldhoist/daemon/upstream.py
@@ -17,7 +17,7 @@
 
     from foldhoist.daemon.dialect import Dialect
 
-IDLE_S = 20.0
+MAX_IDLE_S = 20.0
 """A connection unused for this long is closed and not used again, seconds."""
 IDLE_MARGIN_S = 1.5
 """An upstream that names its own idle time is left this much of it, seconds."""
@@ -34,17 +34,17 @@
 
     def __init__(
         self,
-        most_body: int,
+        max_body_bytes: int,
         on_end: Callable[[UpstreamConnection, Result], None],
         dialect: Dialect | None = None,
     ) -> None:
         dialect = dialect or DefaultDialect()
         self.ticket = 0
         self.idle_since = 0.0
-        self.idle_s = IDLE_S
+        self.idle_s = MAX_IDLE_S
         self._dialect = dialect
         self._call: StartCall | None = None
-        self._most_body = most_body
+        self._max_body_bytes = max_body_bytes
         self._on_end = on_end
         self._transport: asyncio.Transport | None = None
         self._running = False
@@ -56,7 +56,7 @@
         self._begin(head=False)
 
     @property
-    def stands(self) -> bool:
+    def connected(self) -> bool:
         """Return whether the upstream has not ended the connection."""
         return self._transport is not None
 
@@ -92,7 +92,7 @@
         self._transport = None
         self._clean = False
         if self._running and self._until_close and exc is None:
-            result = self._judge()
+            result = self._interpret()
             if result is not None:
                 self._finish(result)
                 return
@@ -107,7 +107,7 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
             if self._result is not None:
-                self._spoiled = True
+                self._not_reusable = True
                 self._finish(self._result)
                 return
             too_large = isinstance(exc.__context__, _TooLargeError)
@@ -122,7 +122,7 @@
         """Begin an answer; a second one to the same request spoils the connection."""
         if self._complete:
             self._clean = False
-            self._spoiled = True
+            self._not_reusable = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take in a header."""
@@ -145,16 +145,16 @@
         self._until_close = not self._framed and self._status not in (204, 304) and not self._head
         if self._head:
             self._clean = False
-            self._spoiled = True
+            self._not_reusable = True
             self._complete = True
-            self._result = self._judge() or Incomplete(True, "answer-to-another-call")
+            self._result = self._interpret() or Incomplete(True, "answer-to-another-call")
 
     def on_body(self, body: bytes) -> None:
         """Take in a piece of the body."""
         if self._complete:
             return
         self._body_bytes += len(body)
-        if self._body_bytes > self._most_body:
+        if self._body_bytes > self._max_body_bytes:
             raise _TooLargeError
         self._body.append(body)
 
@@ -162,7 +162,7 @@
         """Note that the answer is whole; the call ends when all bytes at hand are parsed."""
         if self._complete:
             return
-        result = self._judge() if self._status >= 200 else None
+        result = self._interpret() if self._status >= 200 else None
         if result is None:
             self._begin_answer()
             return
@@ -178,7 +178,7 @@
         self._begin_answer()
         self._keep = False
         self._complete = False
-        self._spoiled = False
+        self._not_reusable = False
         self._clean = True
 
     def _begin_answer(self) -> None:
@@ -189,13 +189,13 @@
         self._framed = False
         self._until_close = False
 
-    def _judge(self) -> Result | None:
+    def _interpret(self) -> Result | None:
         """Return what the answer means, or None if it belongs to another call."""
         assert self._call is not None
         body = b"".join(self._body)
         result = self._dialect.result(self._status, self.head, body, self._call)
         if isinstance(result, Incomplete):
-            self._spoiled = True
+            self._not_reusable = True
         return result
 
     def _finish(self, result: Result) -> None:
@@ -203,7 +203,7 @@
             return
         self._running = False
         if self._complete:
-            self._clean = self._keep and not self._spoiled
+            self._clean = self._keep and not self._not_reusable
             self.idle_s = _idle_s(self.head)
         self._on_end(self, result)
 
@@ -215,17 +215,17 @@
         self,
         address: tuple[str, int],
         connect_s: float,
-        most_body: int,
+        max_body_bytes: int,
         on_result: Callable[[int, Result], None],
         on_leaving: Callable[[], None],
         dialect: Dialect | None = None,
     ) -> None:
         self.dialect = dialect or DefaultDialect()
         self.address = address
-        self.most = 200
+        self.max_connections = 200
         self.opened = 0
         self._connect_s = connect_s
-        self._most_body = most_body
+        self._max_body_bytes = max_body_bytes
         self._on_result = on_result
         self._on_leaving = on_leaving
         self._idle: deque[UpstreamConnection] = deque()
@@ -239,9 +239,9 @@
         return len(self._idle) + len(self._busy) + len(self._connecting)
 
     @property
-    def stands(self) -> bool:
+    def has_connection(self) -> bool:
         """Return whether any connection to the upstream stands: then it has not ended."""
-        return any(conn.stands for conn in (*self._busy.values(), *self._idle))
+        return any(conn.connected for conn in (*self._busy.values(), *self._idle))
 
     def start(self, now: float, call: StartCall) -> None:
         """Send a call on a pooled connection, or on a new one."""
@@ -253,7 +253,7 @@
                 conn.call(call, data)
                 return
             conn.abort("idle")
-        if self.open >= self.most:
+        if self.open >= self.max_connections:
             self._on_result(call.ticket, Incomplete(False, "upstream-connections-used-up"))
             return
         task = asyncio.get_running_loop().create_task(self._connect(call, data))
@@ -277,7 +277,7 @@
         for conn in [*self._idle, *self._busy.values()]:
             conn.abort("closing")
 
-    async def reach(self) -> bool:
+    async def try_connect(self) -> bool:
         """Open a connection for later calls; returns whether the upstream took it."""
         try:
             conn = await self._open()
@@ -287,7 +287,7 @@
         self._idle.append(conn)
         return True
 
-    def forget(self) -> None:
+    def close_idle(self) -> None:
         """Close idle connections: the upstream at the address is another one now."""
         while self._idle:
             self._idle.pop().abort("upstream-replaced")
@@ -296,7 +296,7 @@
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(self._connect_s):
             _, conn = await loop.create_connection(
-                lambda: UpstreamConnection(self._most_body, self._ended, self.dialect),
+                lambda: UpstreamConnection(self._max_body_bytes, self._on_call_end, self.dialect),
                 *self.address,
             )
         self.opened += 1
@@ -314,7 +314,7 @@
         self._busy[ticket] = conn
         conn.call(call, data)
 
-    def _ended(self, conn: UpstreamConnection, result: Result) -> None:
+    def _on_call_end(self, conn: UpstreamConnection, result: Result) -> None:
         self._busy.pop(conn.ticket, None)
         if conn.usable:
             conn.idle_since = asyncio.get_running_loop().time()
@@ -341,5 +341,5 @@
     for part in head.values.get(b"keep-alive", b"").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
-            return min(IDLE_S, max(0.0, int(value) - IDLE_MARGIN_S))
-    return IDLE_S
+            return min(MAX_IDLE_S, max(0.0, int(value) - IDLE_MARGIN_S))
+    return MAX_IDLE_S
--- a/tests/integration/mutants.py
+++ b/tests/integration/mutants.py
@@ -80,7 +80,7 @@
     def lost(self: UpstreamConnection, exc: Exception | None) -> None:
         self._transport = None
         self._complete = True
-        result = self._judge()
+        result = self._interpret()
         assert result is not None
         self._finish(result)
 
