--- a/foldhoist/daemon/handlers.py
+++ b/foldhoist/daemon/handlers.py
@@ -15,7 +15,7 @@
 """Content type of the metrics."""
 
 
-Served: TypeAlias = tuple[str, type[RequestHandler], dict[str, Any]]
+RouteSpec: TypeAlias = tuple[str, type[RequestHandler], dict[str, Any]]
 """A path, what answers it, and what that is given."""
 
 
@@ -45,18 +45,18 @@
         self.finish(self.metrics())
 
 
-class Listening(NamedTuple):
+class ListeningServer(NamedTuple):
     """A server with the address at which it listens, with the port that the system chose."""
 
     server: HTTPServer
     address: str
 
 
-def listen(routes: list[Served], address: str) -> Listening:
+def listen(routes: list[RouteSpec], address: str) -> ListeningServer:
     """Serve these paths at an address, IP:port; what is called is not logged."""
     app = Application(list(routes), log_function=lambda handler: None)
     host, _, port = address.rpartition(":")
     sockets = bind_sockets(int(port), host.strip("[]"))
     server = HTTPServer(app)
     server.add_sockets(sockets)
-    return Listening(server, "{}:{}".format(*sockets[0].getsockname()[:2]))
+    return ListeningServer(server, "{}:{}".format(*sockets[0].getsockname()[:2]))
--- a/foldhoist/daemon/operators.py
+++ b/foldhoist/daemon/operators.py
@@ -11,7 +11,7 @@
 from foldhoist import __version__
 from foldhoist.configlog.fold import to_snapshot
 from foldhoist.daemon.configuration import describe
-from foldhoist.daemon.handlers import MetricsHandler, Served, listen
+from foldhoist.daemon.handlers import MetricsHandler, RouteSpec, listen
 from foldhoist.observe.records import record_report
 
 if TYPE_CHECKING:
@@ -65,7 +65,7 @@
 
     def __init__(self, daemon: Daemon) -> None:
         shared = {"daemon": daemon}
-        routes: list[Served] = [
+        routes: list[RouteSpec] = [
             (r"/status", _Status, shared),
             (r"/metrics", MetricsHandler, {"metrics": daemon.metrics.text}),
             (r"/configuration", _Configuration, shared),
--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -172,7 +172,7 @@
             self._carry_out(self.owner.set_leaving(EVACUATED))
         else:
             self._carry_out(self.owner.end_evacuation(self._loop.time()))
-            self.sampler.ask()
+            self.sampler.request_sample()
         self._log_change(before)
 
     def set_queue_limits(self, limits: QueueLimits) -> None:
@@ -261,7 +261,7 @@
         now = self._loop.time()
         match kind:
             case "Dispatch":
-                self.sampler.called()
+                self.sampler.record_call()
                 self._carry_out(self.owner.dispatch(now, int(time.time() * 1000), link, body))
             case "Withdraw":
                 self._carry_out(self.owner.withdraw(now, link, body))
@@ -300,8 +300,8 @@
         now = self._loop.time()
         hop = self.owner.call_record(now, ticket, result)
         if isinstance(result, Complete):
-            self.sampler.heard(result.pace)
-        self.owner.status.pace_sampled = self.sampler.watching
+            self.sampler.record_pace(result.pace)
+        self.owner.status.pace_sampled = self.sampler.pace_sampled
         if _is_away(result):
             self._look_for_upstream()
         self._carry_out(self.owner.finished(now, ticket, result))
@@ -309,7 +309,7 @@
             self._on_hop(hop)
 
     def _sampled(self, sample: Sample) -> None:
-        self.owner.status.pace_sampled = self.sampler.watching
+        self.owner.status.pace_sampled = self.sampler.pace_sampled
         self._carry_out(self.owner.sampled(self._loop.time(), sample))
 
     def _tell_refusals(self) -> None:
--- a/foldhoist/daemon/sampler.py
+++ b/foldhoist/daemon/sampler.py
@@ -137,24 +137,24 @@
             self._task.cancel()
         self._drop()
 
-    def called(self) -> None:
+    def record_call(self) -> None:
         """Take in that a call came for the upstream."""
         now = self._loop.time()
         self._plan.record_call(now)
         if not self._wanted.is_set() and self._plan.next_at(now) is not None:
             self._wanted.set()
 
-    def ask(self) -> None:
+    def request_sample(self) -> None:
         """Take a sample soon, whatever calls there are: the upstream may have turned cold."""
         self._asked = True
         self._wanted.set()
 
-    def heard(self, pace: int) -> None:
+    def record_pace(self, pace: int) -> None:
         """Take in the pace that came with an answer."""
         self._plan.record_pace(self._loop.time(), pace)
 
     @property
-    def watching(self) -> bool:
+    def pace_sampled(self) -> bool:
         """Return whether changes of the pace are seen soon."""
         return self._plan.next_at(self._loop.time()) is not None and not self._failing
 
--- a/tests/adapter/test_pace.py
+++ b/tests/adapter/test_pace.py
@@ -59,7 +59,7 @@
     cluster.targets["b"].instance = "i-other"
     cluster.targets["b"].pace = "700"
     before = sampler.count.samples
-    await until(lambda: sampler.count.samples > before + 2 or not sampler.watching)
+    await until(lambda: sampler.count.samples > before + 2 or not sampler.pace_sampled)
     await asyncio.sleep(0)
     assert track.pace != 700
 
@@ -72,9 +72,9 @@
     cluster.targets["b"].health_hangs = True
     sampler = cluster.daemons["b"].owner_task.sampler
     await until(lambda: sampler.count.failed >= 1)
-    assert not sampler.watching
+    assert not sampler.pace_sampled
     assert (await cluster.ask("a", attempt="ff")).status == 200
     cluster.targets["b"].health_hangs = False
     for number in range(CALLS):
         assert (await cluster.ask("a", attempt=f"{number:x}")).status == 200
-    await until(lambda: sampler.watching)
+    await until(lambda: sampler.pace_sampled)
