--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -125,7 +125,7 @@
             self.ingress_task,
             self.owner_task,
             lambda: self._targets,
-            lambda hosts: self.links.want(hosts - {self.name}),
+            lambda hosts: self.links.connect(hosts - {self.name}),
         )
         await self._listen()
         self.control = Control(cfg["listen"]["control"], cfg["measuring"], self._on_control)
@@ -164,7 +164,7 @@
         await self._wait_until(lambda: all(conn.idle for conn in self.callers.open), limit)
         for conn in list(self.callers.open):
             conn.close()
-        await self.owner_task.part(limit)
+        await self.owner_task.send_goaway(limit)
         await asyncio.sleep(REPLY_GRACE_S)
         await self.stop()
 
@@ -219,7 +219,9 @@
     async def _listen(self) -> None:
         cfg = self.cfg
         loop = asyncio.get_running_loop()
-        self.callers = ServerState(cfg["limits"], self.ingress_task.arrive, self.ingress_task.gone)
+        self.callers = ServerState(
+            cfg["limits"], self.ingress_task.arrive, self.ingress_task.caller_disconnected
+        )
         host, port = _split(cfg["listen"]["callers"])
         callers = await loop.create_server(
             lambda: CallerConnection(self.callers), host, port, backlog=1024
@@ -244,7 +246,7 @@
         if self.name in names or mine is not None:
             self.ingress_task.local_up(self.incarnation)
         if len(names) <= EAGER_LINKS:
-            self.links.want(sorted(names - {self.name}))
+            self.links.connect(sorted(names - {self.name}))
 
     def _adopt_as_owner(self, state: State, fleet: Fleet) -> None:
         target = fleet["targets"][self.name]
