--- a/foldhoist/daemon/ports.py
+++ b/foldhoist/daemon/ports.py
@@ -30,7 +30,7 @@
     sent: bool
 
 
-class StoreUpdate(NamedTuple):
+class StoreData(NamedTuple):
     """What the operator has written: a newer configuration, if any, and evacuations."""
 
     version: Version | None
@@ -40,13 +40,13 @@
 class Store(Protocol):
     """The platform's store; every call costs, and may fail, hang or be done unanswered."""
 
-    async def newest(self, answer_s: float) -> Result[StoreUpdate, StoreFault]:
+    async def newest(self, answer_s: float) -> Result[StoreData, StoreFault]:
         """Return the newest configuration, None if there is none yet, and all evacuations.
 
         `answer_s` is the longest wait for an answer, seconds.
         """
 
-    async def poll(self, wait_ms: int, answer_s: float) -> Result[StoreUpdate, StoreFault]:
+    async def poll(self, wait_ms: int, answer_s: float) -> Result[StoreData, StoreFault]:
         """Wait for what is newer than what was returned last, if anything comes.
 
         `answer_s` is the longest wait for an answer beyond `wait_ms`, seconds.
--- a/tests/unit/daemon/test_versions_task.py
+++ b/tests/unit/daemon/test_versions_task.py
@@ -12,15 +12,15 @@
 from foldhoist.configlog.evacuations import StoredEvacuations
 from foldhoist.configlog.versions import ReaderElection, Version
 from foldhoist.daemon import versions_task
-from foldhoist.daemon.ports import StoreFault, StoreUpdate
+from foldhoist.daemon.ports import StoreData, StoreFault
 from foldhoist.daemon.versions_task import ANSWER_FIRST_S, ANSWER_LONGEST_S, VersionsTask
 
 if TYPE_CHECKING:
     from expression import Result
 
 WAIT_MS = 5000
-NOTHING = StoreUpdate(None, StoredEvacuations(0, complete=False, records=()))
-FIRST = StoreUpdate(Version(1, b""), StoredEvacuations(1, complete=True, records=()))
+NOTHING = StoreData(None, StoredEvacuations(0, complete=False, records=()))
+FIRST = StoreData(Version(1, b""), StoredEvacuations(1, complete=True, records=()))
 SILENT = StoreFault("did not answer", True)
 ASKED = 40
 """Calls after which a scripted store says nothing more."""
@@ -37,20 +37,20 @@
 class ScriptedStore:
     """Answers by a list; after its end it answers every call at once, up to a number of calls."""
 
-    def __init__(self, answers: list[Result[StoreUpdate, StoreFault]]) -> None:
+    def __init__(self, answers: list[Result[StoreData, StoreFault]]) -> None:
         self.answers = answers
         self.calls: list[Call] = []
         self.ended = asyncio.Event()
 
-    async def newest(self, answer_s: float) -> Result[StoreUpdate, StoreFault]:
+    async def newest(self, answer_s: float) -> Result[StoreData, StoreFault]:
         """Return the next answer."""
         return await self._answer(Call("newest", 0, answer_s))
 
-    async def poll(self, wait_ms: int, answer_s: float) -> Result[StoreUpdate, StoreFault]:
+    async def poll(self, wait_ms: int, answer_s: float) -> Result[StoreData, StoreFault]:
         """Return the next answer."""
         return await self._answer(Call("news", wait_ms, answer_s))
 
-    async def _answer(self, call: Call) -> Result[StoreUpdate, StoreFault]:
+    async def _answer(self, call: Call) -> Result[StoreData, StoreFault]:
         if len(self.calls) >= ASKED:
             self.ended.set()
             await asyncio.Event().wait()
@@ -81,7 +81,7 @@
         """Ask nobody."""
 
 
-def calls_with(answers: list[Result[StoreUpdate, StoreFault]]) -> list[Call]:
+def calls_with(answers: list[Result[StoreData, StoreFault]]) -> list[Call]:
     """Return the calls that a task makes to a store with these answers."""
 
     async def run() -> list[Call]:
