--- a/bench/stages.py
+++ b/bench/stages.py
@@ -15,7 +15,7 @@
 from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import parse_fleet
 from foldhoist.config.options import load_schema
-from foldhoist.daemon.callers import CallerConnection, Shared
+from foldhoist.daemon.callers import CallerConnection, ServerState
 from foldhoist.daemon.frames import FrameConnection
 from foldhoist.daemon.ingress_task import IngressTask
 from foldhoist.daemon.owner_task import OwnerTask
@@ -143,13 +143,13 @@
         self.accepted.data_received(_hello_bytes(hello))
         self.link.data_received(self.from_ingress.take())
         self.upstream_wire = FakeTransport()
-        self.upstream = UpstreamConnection(1 << 20, self.owner_task.pool._ended)
+        self.upstream = UpstreamConnection(1 << 20, self.owner_task.pool._on_call_end)
         self.upstream.connection_made(self.upstream_wire)
         self.upstream.idle_since = float("inf")
         self.owner_task.pool._idle.append(self.upstream)
-        self.shared = Shared(cfg["limits"], self.task.arrive, self.task.caller_disconnected)
+        self.callers = ServerState(cfg["limits"], self.task.arrive, self.task.caller_disconnected)
         self.caller_wire = FakeTransport()
-        self.caller = CallerConnection(self.shared)
+        self.caller = CallerConnection(self.callers)
         self.caller.connection_made(self.caller_wire)
 
     def hop(self, call: Any) -> None:
--- a/foldhoist/daemon/dialect.py
+++ b/foldhoist/daemon/dialect.py
@@ -10,11 +10,11 @@
 from foldhoist.daemon.http import (
     BUDGET,
     CUSTOMER,
+    DEFAULT_CALLER_RULES,
+    DEFAULT_UPSTREAM_RULES,
     HOPS,
     KEY,
     NOT_RUN,
-    OWN_CALLER_RULES,
-    OWN_RULES,
     REASON,
     RETRY,
     STATE,
@@ -62,15 +62,15 @@
     def sample(self, status: int, head: HeadReader) -> Sample:
         """Return what an answer of the health path tells."""
 
-    def leaves(self, head: HeadReader) -> bool:
+    def is_leaving(self, head: HeadReader) -> bool:
         """Return whether an answer says that the upstream is leaving."""
 
 
-class OwnDialect:
+class DefaultDialect:
     """The product's own headers."""
 
-    caller_rules = OWN_CALLER_RULES
-    upstream_rules = OWN_RULES
+    caller_rules = DEFAULT_CALLER_RULES
+    upstream_rules = DEFAULT_UPSTREAM_RULES
 
     def read_request(
         self, method: str, url: bytes, head: HeadReader, body: bytes
@@ -118,9 +118,9 @@
 
     def result(self, status: int, head: HeadReader, body: bytes, call: StartCall) -> Result | None:
         """Return what a whole answer means; every answer belongs to the call in hand."""
-        if status == 503 and NOT_RUN in head.said:
-            return Shed(_retry_after(head.said))
-        return Complete(status, head.passed_on(), body)
+        if status == 503 and NOT_RUN in head.values:
+            return Shed(_retry_after(head.values))
+        return Complete(status, head.forwarded_headers(), body)
 
     def sample_headers(self, instance: str, address: bytes) -> Headers:
         """Return the headers of a question to the health path."""
@@ -130,9 +130,9 @@
         """Return nothing: upstreams that speak the product's own headers tell no pace."""
         return Sample(0)
 
-    def leaves(self, head: HeadReader) -> bool:
+    def is_leaving(self, head: HeadReader) -> bool:
         """Return whether an answer says that the upstream is leaving."""
-        return head.said.get(STATE) == b"leaving"
+        return head.values.get(STATE) == b"leaving"
 
 
 def _retry_after(said: dict[bytes, bytes]) -> float:
--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -52,12 +52,12 @@
 ) -> None:
     assert (await client.newest()).ok.version is None
     await log.put("keyed.op", "config", content(0x1F))
-    assert (await client.news(2000)).ok.version == Version(0x1F, content(0x1F))
-    assert (await client.news(10)).ok.version is None
+    assert (await client.poll(2000)).ok.version == Version(0x1F, content(0x1F))
+    assert (await client.poll(10)).ok.version is None
     await log.put("keyed.op", "config", content(0x20))
     await log.put("keyed.op", "other", b"x")
     await log.put("keyed.op", "config", content(0x30))
-    assert (await client.news(2000)).ok.version == Version(0x30, content(0x30))
+    assert (await client.poll(2000)).ok.version == Version(0x30, content(0x30))
 
 
 @stored
@@ -66,7 +66,7 @@
     await log.put("keyed.op", "config", content(5))
     await log.put("keyed.op", "config", b"{}")
     await log.put("keyed.op", "config", b"\xff")
-    assert (await client.news(2000)).ok.version == Version(5, content(5))
+    assert (await client.poll(2000)).ok.version == Version(5, content(5))
 
 
 @stored
@@ -76,9 +76,9 @@
     await client.newest()
     await log.put("keyed.op", "config", content(7))
     log.forget("keyed.op")
-    assert (await client.news(2000)).ok.version == Version(7, content(7))
+    assert (await client.poll(2000)).ok.version == Version(7, content(7))
     await log.put("keyed.op", "config", content(8))
-    assert (await client.news(2000)).ok.version == Version(8, content(8))
+    assert (await client.poll(2000)).ok.version == Version(8, content(8))
 
 
 @stored
