--- a/foldhoist/daemon/operators.py
+++ b/foldhoist/daemon/operators.py
@@ -11,7 +11,7 @@
 from foldhoist import __version__
 from foldhoist.configlog.fold import to_snapshot
 from foldhoist.daemon.configuration import describe
-from foldhoist.daemon.handlers import MetricsHandler, Served, listen
+from foldhoist.daemon.handlers import MetricsHandler, RouteSpec, listen
 from foldhoist.observe.records import record_report
 
 if TYPE_CHECKING:
@@ -40,17 +40,18 @@
 class _Records(_Handler):
     def get(self) -> None:
         after = int(self.get_query_argument("after", "0"))
-        number, records = self.daemon.ring.since(after)
-        self.give({"number": number, "records": [record_report(each) for each in records]})
+        number, latest = self.daemon.records.since(after)
+        self.give({"number": number, "records": [record_report(each) for each in latest]})
 
 
 class _Explain(_Handler):
     def get(self, trace: str) -> None:
-        ring = self.daemon.ring
+        buffer = self.daemon.records
         hops = [
-            {"owner": hop.owner, "at": hop.at, **hop.call._asdict()} for hop in ring.hops_of(trace)
+            {"owner": hop.owner, "at": hop.at, **hop.call._asdict()}
+            for hop in buffer.hops_of(trace)
         ]
-        calls = [record_report(record) for record in ring.calls_of(trace)]
+        calls = [record_report(record) for record in buffer.calls_of(trace)]
         self.give({"daemon": self.daemon.name, "calls": calls, "hops": hops})
 
 
@@ -65,7 +66,7 @@
 
     def __init__(self, daemon: Daemon) -> None:
         shared = {"daemon": daemon}
-        routes: list[Served] = [
+        routes: list[RouteSpec] = [
             (r"/status", _Status, shared),
             (r"/metrics", MetricsHandler, {"metrics": daemon.metrics.text}),
             (r"/configuration", _Configuration, shared),
--- a/foldhoist/daemon/ports.py
+++ b/foldhoist/daemon/ports.py
@@ -30,7 +30,7 @@
     sent: bool
 
 
-class News(NamedTuple):
+class StoreData(NamedTuple):
     """What the operator has written: a newer configuration, if any, and evacuations."""
 
     version: Version | None
@@ -40,13 +40,13 @@
 class Store(Protocol):
     """The platform's store; every call costs, and may fail, hang or be done unanswered."""
 
-    async def newest(self, answer_s: float) -> Result[News, StoreFault]:
+    async def newest(self, answer_s: float) -> Result[StoreData, StoreFault]:
         """Return the newest configuration, None if there is none yet, and all evacuations.
 
         `answer_s` is the longest wait for an answer, seconds.
         """
 
-    async def news(self, wait_ms: int, answer_s: float) -> Result[News, StoreFault]:
+    async def poll(self, wait_ms: int, answer_s: float) -> Result[StoreData, StoreFault]:
         """Wait for what is newer than what was returned last, if anything comes.
 
         `answer_s` is the longest wait for an answer beyond `wait_ms`, seconds.
@@ -65,19 +65,19 @@
         """Close every connection."""
 
 
-class Announcements(Protocol):
+class AnnouncementHandler(Protocol):
     """What endpoints hand on; an answer may be given when the call returns."""
 
-    async def heard(self, announced: Announced) -> bool:
+    async def on_announcement(self, announced: Announced) -> bool:
         """Take in what the upstream says of itself; returns whether that names an upstream."""
 
-    async def left(self, instance: str, born_ms: int) -> bool:
+    async def on_departure(self, instance: str, born_ms: int) -> bool:
         """Take in that a life of the upstream is over; returns whether that is acknowledged.
 
         `born_ms` is its start, milliseconds of wall clock, 0 if it names its id alone.
         """
 
-    def passed_over(self, fault: str) -> None:
+    def on_invalid(self, fault: str) -> None:
         """Count a word that names no upstream, and log it if there are not too many."""
 
 
@@ -103,7 +103,7 @@
 
     def listen(
         self,
-        announcements: Announcements,
+        announcements: AnnouncementHandler,
         is_ready: Callable[[], bool],
         metrics: Callable[[], bytes],
     ) -> Endpoints:
