--- a/foldhoist/daemon/frames.py
+++ b/foldhoist/daemon/frames.py
@@ -1,4 +1,4 @@
-"""A connection that carries frames: splits bytes into messages and hands them to its user."""
+"""A connection that carries frames: decodes and encodes messages, and interleaves pieces."""
 
 from __future__ import annotations
 
@@ -14,15 +14,20 @@
     from collections.abc import Callable, Mapping
 
 PEER_TIMEOUT_MS = 1500
-"""A peer whose host acknowledges nothing for this long counts as gone, milliseconds."""
+"""A connection is closed if the peer's host acknowledges nothing for this long, milliseconds."""
 MAX_UNSENT_BYTES = 16 * 1024 * 1024
-"""A peer that leaves this many bytes unread is cut off, bytes."""
+"""Limit of the send buffer, and of the pieces still to be sent, bytes; beyond it, the connection
+is closed.
+"""
 PIECE_RETRY_S = 0.005
-"""Time between two looks at whether the connection takes another piece, seconds."""
+"""Interval at which a full connection is checked for room for the next piece, seconds."""
 
 
 class FrameConnection(asyncio.Protocol):
-    """One connection; `on_message(kind, body)` and `on_lost()` are called in the event loop."""
+    """One connection; `on_message(conn, kind, body)` and `on_lost(conn)` run in the event loop.
+
+    `limit` is the longest message allowed, bytes.
+    """
 
     def __init__(
         self,
@@ -37,53 +42,53 @@
         self._encoder = StreamEncoder()
         self._fragmenter = Fragmenter()
         self._reassembler = Reassembler(limit)
-        self._pieces: asyncio.TimerHandle | None = None
+        self._piece_timer: asyncio.TimerHandle | None = None
         self._on_message = on_message
         self._on_lost = on_lost
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Set the limits of the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
         enable_keepalive(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Hand on every whole message; a peer that breaks the schema is cut off."""
+        """Pass on every complete message; an invalid one closes the connection."""
         try:
             messages = self._decoder.feed(data)
-            whole = self._joined(messages)
+            complete = self._reassemble(messages)
         except ProtocolError:
             self.faults += 1
             self.close()
             return
-        for kind, body in whole:
+        for kind, body in complete:
             self._on_message(self, kind, body)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the user."""
+        """Report the loss of the connection."""
         self._transport = None
-        if self._pieces is not None:
-            self._pieces.cancel()
+        if self._piece_timer is not None:
+            self._piece_timer.cancel()
         self._on_lost(self)
 
     def pause_writing(self) -> None:
-        """Cut off a peer that does not read."""
+        """Close the connection to a peer that does not read."""
         self.close()
 
     def send(self, kind: str, body: Mapping[str, Any]) -> None:
-        """Write a message; without a connection it is dropped."""
+        """Send a message; without a connection it is dropped."""
         if self._transport is None:
             return
         self._write(kind, self._fragmenter.first(body))
         if self._fragmenter.pending_bytes > MAX_UNSENT_BYTES:
             self.close()
-        elif self._fragmenter.pending_bytes and self._pieces is None:
+        elif self._fragmenter.pending_bytes and self._piece_timer is None:
             self._send_pieces()
 
     def close(self) -> None:
-        """Close the connection at once."""
+        """Close the connection at once; data that waits to be sent is dropped."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -95,19 +100,19 @@
         self._transport.write(data)
 
     def _send_pieces(self) -> None:
-        """Send pieces while the connection takes them; what else is sent goes in between."""
-        self._pieces = None
+        """Send pieces until the send buffer is full; other messages go in between."""
+        self._piece_timer = None
         while self._transport is not None and self._fragmenter.pending_bytes:
             if self._transport.get_write_buffer_size() > PIECE_BYTES:
                 loop = asyncio.get_running_loop()
-                self._pieces = loop.call_later(PIECE_RETRY_S, self._send_pieces)
+                self._piece_timer = loop.call_later(PIECE_RETRY_S, self._send_pieces)
                 return
             piece = self._fragmenter.next_piece()
             if piece is not None:
                 self._write("Piece", piece)
 
-    def _joined(self, messages: list[tuple[str, Any]]) -> list[tuple[str, Any]]:
-        whole: list[tuple[str, Any]] = []
+    def _reassemble(self, messages: list[tuple[str, Any]]) -> list[tuple[str, Any]]:
+        complete: list[tuple[str, Any]] = []
         for kind, body in messages:
             match kind:
                 case "Answer":
@@ -117,12 +122,12 @@
                 case _:
                     answer = body
             if answer is not None:
-                whole.append((kind, answer))
-        return whole
+                complete.append((kind, answer))
+        return complete
 
 
 def enable_keepalive(transport: asyncio.BaseTransport) -> None:
-    """Have the system end the connection when the peer's host falls silent."""
+    """Have the operating system close the connection if the peer's host stops responding."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
--- a/foldhoist/daemon/links.py
+++ b/foldhoist/daemon/links.py
@@ -1,4 +1,4 @@
-"""The ingress's connections to owners: one for each, opened anew when it falls."""
+"""The connections that a daemon opens to owners, one to each; lost ones are opened again."""
 
 from __future__ import annotations
 
@@ -16,26 +16,25 @@
     from foldhoist.schema.messages import Hello
 
 MIN_RETRY_S = 0.02
-"""First pause before a connection is tried again, seconds; it doubles each time."""
+"""First pause after a failed attempt to connect, seconds; doubled after each failure."""
 MAX_RETRY_S = 0.5
-"""Longest pause before a connection is tried again, seconds."""
+"""Longest pause after a failed attempt to connect, seconds, before jitter."""
 CONNECT_TIMEOUT_S = 1.0
-"""Longest wait for a connection and its first message, seconds."""
+"""Longest wait for a connection and the peer's Hello on it, seconds."""
 RETRY_NOW_TIMEOUT_S = 0.1
-"""Longest such wait once the peer has shown that it is there, seconds.
+"""Longest such wait once the peer is known to be running, seconds.
 
-A host without power swallows the first packet of a connection, which is sent again after a second
-only: after all hosts of a site were powered off, half of the links came up 0.9 s after both of
-their ends were running.
+The first packet to a host that was down is lost, and the system retransmits it after a second only.
 """
-
-
 UNWANTED_CLOSE_S = 10.0
-"""A link that nobody wants is closed after this, seconds: longer than calls usually take."""
+"""An unwanted link is closed after this time, seconds; longer than calls usually take."""
 
 
 class LinkEvents:
-    """What links tell: up, lost, refused, and every message."""
+    """Callbacks for the events of links; each gets the name of the owner first.
+
+    `on_up` also gets the incarnation, `on_message` the kind and the fields of a message.
+    """
 
     def __init__(
         self,
@@ -51,7 +50,7 @@
 
 
 class Link:
-    """The connection to one owner; a task keeps it up."""
+    """The connection to one owner; a task opens it and reconnects after a loss."""
 
     def __init__(
         self, name: str, address: str, hello: Hello, limit: int, events: LinkEvents, rng: Random
@@ -66,61 +65,61 @@
         self._rng = rng
         self._epoch = 0
         self._conn: FrameConnection | None = None
-        self._fell = asyncio.Event()
-        self._hurry = asyncio.Event()
-        self._greeted = asyncio.Event()
-        self._began = 0.0
-        self._patience: asyncio.Timeout | None = None
-        self._task = asyncio.get_running_loop().create_task(self._keep_up())
+        self._lost_event = asyncio.Event()
+        self._retry_event = asyncio.Event()
+        self._hello_event = asyncio.Event()
+        self._attempt_started_at = 0.0
+        self._timeout: asyncio.Timeout | None = None
+        self._task = asyncio.get_running_loop().create_task(self._run())
 
     def send(self, kind: str, body: Mapping[str, Any]) -> bool:
-        """Write a message; returns False if the link is down."""
+        """Send a message; returns False if the link is down."""
         if self._conn is None or not self.up:
             return False
         self._conn.send(kind, body)
         return True
 
     def retry_now(self) -> None:
-        """Try again at once, also if a try hangs: the peer has shown that it is there."""
-        self._hurry.set()
-        if self._patience is not None:
+        """Retry without a pause, and limit the wait of a pending attempt: the peer is running."""
+        self._retry_event.set()
+        if self._timeout is not None:
             now = asyncio.get_running_loop().time()
-            self._patience.reschedule(max(now, self._began + RETRY_NOW_TIMEOUT_S))
+            self._timeout.reschedule(max(now, self._attempt_started_at + RETRY_NOW_TIMEOUT_S))
 
     def close(self) -> None:
-        """Close for good."""
+        """Close the connection and stop reconnecting."""
         self._task.cancel()
         if self._conn is not None:
             self._conn.close()
 
-    async def _keep_up(self) -> None:
+    async def _run(self) -> None:
         pause = MIN_RETRY_S
         while True:
             if await self._connect():
                 pause = MIN_RETRY_S
-                await self._fell.wait()
+                await self._lost_event.wait()
                 continue
-            self._hurry.clear()
+            self._retry_event.clear()
             with suppress(TimeoutError):
                 async with asyncio.timeout(pause * (0.5 + self._rng.random())):
-                    await self._hurry.wait()
+                    await self._retry_event.wait()
             pause = min(MAX_RETRY_S, pause * 2)
 
     async def _connect(self) -> bool:
         host, _, port = self.address.rpartition(":")
-        self._fell.clear()
-        self._greeted.clear()
+        self._lost_event.clear()
+        self._hello_event.clear()
         loop = asyncio.get_running_loop()
-        self._began = loop.time()
+        self._attempt_started_at = loop.time()
         try:
-            async with asyncio.timeout(CONNECT_TIMEOUT_S) as self._patience:
+            async with asyncio.timeout(CONNECT_TIMEOUT_S) as self._timeout:
                 _, conn = await loop.create_connection(
                     lambda: FrameConnection(self._limit, self._message, self._lost), host, int(port)
                 )
                 self._conn = conn
                 self._epoch += 1
                 conn.send("Hello", {**self._hello, "epoch": self._epoch})
-                await self._greeted.wait()
+                await self._hello_event.wait()
         except ConnectionRefusedError:
             self._events.on_refused(self.name)
             return False
@@ -128,25 +127,25 @@
             self._drop()
             return False
         finally:
-            self._patience = None
+            self._timeout = None
         return self.up
 
     def _message(self, conn: FrameConnection, kind: str, body: Any) -> None:
         if conn is not self._conn:
             return
         if kind == "Hello":
-            self._greet(conn, body)
+            self._on_hello(conn, body)
             return
         if kind == "Goaway":
             conn.send("Goaway", {"reason": "seen"})
         self._events.on_message(self.name, kind, body)
 
-    def _greet(self, conn: FrameConnection, hello: Hello) -> None:
+    def _on_hello(self, conn: FrameConnection, hello: Hello) -> None:
         if hello["schema"] != SCHEMA_VERSION or hello["name"] != self.name:
             conn.close()
             return
         self.up = True
-        self._greeted.set()
+        self._hello_event.set()
         self._events.on_up(self.name, hello["incarnation"])
 
     def _lost(self, conn: FrameConnection) -> None:
@@ -155,8 +154,8 @@
         self._conn = None
         was_up = self.up
         self.up = False
-        self._greeted.set()
-        self._fell.set()
+        self._hello_event.set()
+        self._lost_event.set()
         if was_up:
             self._events.on_lost(self.name)
 
@@ -166,7 +165,7 @@
 
 
 class Links:
-    """All links of a daemon, by target name."""
+    """All links of a daemon, by the name of the owner."""
 
     def __init__(self, hello: Hello, limit: int, events: LinkEvents, rng: Random) -> None:
         self._hello = hello
@@ -177,7 +176,7 @@
         self._addresses: dict[str, str] = {}
 
     def adopt(self, addresses: dict[str, str]) -> None:
-        """Take over the addresses of a configuration; links to others are closed."""
+        """Set the addresses of all owners; links to other addresses are closed."""
         self._addresses = addresses
         for name, link in list(self._links.items()):
             if addresses.get(name) == link.address:
@@ -185,7 +184,7 @@
             self._close(name, link)
 
     def connect(self, names: Iterable[str]) -> None:
-        """Open the links that are not there yet."""
+        """Open the missing links to these owners; those without a known address are skipped."""
         for name in names:
             address = self._addresses.get(name)
             if address is None or name in self._links:
@@ -194,14 +193,14 @@
             self._links[name] = link
 
     def set_address(self, name: str, address: str) -> None:
-        """Take over the address of one owner; a link to another address is closed."""
+        """Set the address of one owner; a link to its earlier address is closed."""
         self._addresses[name] = address
         link = self._links.get(name)
         if link is not None and link.address != address:
             self._close(name, link)
 
     def remove(self, name: str) -> None:
-        """Close the link to an owner that is gone."""
+        """Remove an owner and close the link to it."""
         self._addresses.pop(name, None)
         link = self._links.get(name)
         if link is not None:
@@ -210,9 +209,9 @@
     def close_unwanted(
         self, wanted: Container[str], now: float, is_busy: Callable[[str], bool]
     ) -> list[str]:
-        """Close the links that have not been wanted for long and carry no call; return their names.
+        """Close links without calls that have been unwanted for long; returns their names.
 
-        What was wanted a moment ago may be again, and an answer may still be on its way.
+        They stay for UNWANTED_CLOSE_S, as they may soon be wanted again.
         """
         closed: list[str] = []
         for name, link in list(self._links.items()):
@@ -228,27 +227,27 @@
         return closed
 
     def is_up(self, name: str) -> bool:
-        """Return whether an owner is connected."""
+        """Return whether the link to an owner is up."""
         link = self._links.get(name)
         return link is not None and link.up
 
     def retry_now(self, name: str) -> None:
-        """Try again at once to reach this owner, if its link is down."""
+        """Retry the connection to an owner without a pause, if its link is down."""
         link = self._links.get(name)
         if link is not None and not link.up:
             link.retry_now()
 
     def send(self, name: str, kind: str, body: Mapping[str, Any]) -> bool:
-        """Write a message to an owner; returns False if its link is down."""
+        """Send a message to an owner; returns False if the link to it is down."""
         link = self._links.get(name)
         return link is not None and link.send(kind, body)
 
     def connected(self) -> list[str]:
-        """Return the names of the owners that are connected."""
+        """Return the names of the connected owners."""
         return [name for name, link in self._links.items() if link.up]
 
     def close(self) -> None:
-        """Close every link for good."""
+        """Close every link and stop reconnecting."""
         for link in self._links.values():
             link.close()
         self._links.clear()
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -106,7 +106,7 @@
             self.store,
             self.describe,
             self._on_peers,
-            self._on_rewired,
+            self._on_links_updated,
             self.upstream.store_answered,
             self.ingress_task.ingress.is_busy,
             self.owner_task.send_to,
@@ -349,7 +349,7 @@
         self.registry.quota_servers = hosts
         self.peers.schedule_link_update()
 
-    def _on_rewired(self) -> None:
+    def _on_links_updated(self) -> None:
         self.readers.set_peers([self.name, *self.registry.neighbours.local_daemons()])
         self._track()
 
--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -1,4 +1,4 @@
-"""Runs the owner object: connections of ingresses on one side, the upstream on the other."""
+"""Runs the owner: its connections with ingresses, and its calls to the upstream."""
 
 from __future__ import annotations
 
@@ -41,21 +41,21 @@
     from foldhoist.schema.settings import Settings
 
 TICK_S = 0.05
-"""Time between two looks at what has waited too long, seconds."""
-REACH_S = 0.3
-"""Time between two tries to reach an upstream that is away, seconds."""
-PART_S = 1.0
-"""Longest wait for ingresses to read that no call is taken any more, seconds."""
-PART_LEAST_S = 0.1
-"""Wait for that even if the time of the whole stop is up, seconds."""
-PART_LOOK_S = 0.01
-"""Time between two looks at whether they have, seconds."""
-AWAY = "upstream-unreachable"
+"""Interval at which waiting and running calls are checked against their limits, seconds."""
+RECONNECT_INTERVAL_S = 0.3
+"""Pause before each attempt to connect to an unreachable upstream, seconds."""
+GOAWAY_TIMEOUT_S = 1.0
+"""Longest wait for ingresses to acknowledge a Goaway, seconds."""
+MIN_GOAWAY_TIMEOUT_S = 0.1
+"""Wait for them even if the shutdown has reached its time limit, seconds."""
+GOAWAY_CHECK_S = 0.01
+"""Interval at which their acknowledgements are checked, seconds."""
+UPSTREAM_UNREACHABLE = "upstream-unreachable"
 """Reason of a call for which no connection to the upstream could be opened."""
 
 
 class OwnerTask:
-    """The owner role of a daemon."""
+    """The owner role of a daemon: carries out the actions that the owner returns."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         self.on_suspects: Callable[[list[Suspect]], None] | None = None
         self.on_quarantined: Callable[[list[str]], None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._reaching: asyncio.Task[None] | None = None
+        self._reconnecting: asyncio.Task[None] | None = None
         self._hello = hello
         self._on_local = on_local
         self._on_hop = on_hop
@@ -82,7 +82,7 @@
         self._limit = cfg["limits"]["body_bytes"] + FRAME_OVERHEAD_BYTES
         self._conns: dict[int, FrameConnection] = {}
         self._next_link = LOCAL_LINK + 1
-        self._greeted: set[int] = set()
+        self._accepted_links: set[int] = set()
         self._goaway_unacked: set[int] = set()
         host, _, port = cfg["upstream"]["address"].rpartition(":")
         self.pool = UpstreamPool(
@@ -93,7 +93,7 @@
             lambda: self.set_state("leaving"),
             dialect,
         )
-        self._lost_calls = LostCalls(self.pool, self._know_lost)
+        self._lost_calls = LostCalls(self.pool, self._on_calls_lost)
         self.sampler = Sampler(
             SamplePlan(cfg["measuring"]["sample_cost"]),
             (host, int(port)),
@@ -104,7 +104,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start looking at what has waited too long."""
+        """Start the periodic checks and the sampler."""
         self._task = self._loop.create_task(self._tick())
         self.sampler.start()
 
@@ -121,7 +121,7 @@
         self.sampler.close()
 
     def connection(self) -> FrameConnection:
-        """Return the protocol object of a new connection."""
+        """Return the protocol object for a new connection."""
         conn = FrameConnection(self._limit, self._message, self._lost)
         conn.number = self._next_link
         self._next_link += 1
@@ -129,18 +129,18 @@
         return conn
 
     def local_hello(self) -> None:
-        """Connect the ingress in this process, once."""
-        if LOCAL_LINK in self._greeted:
+        """Connect the ingress of this process; further calls do nothing."""
+        if LOCAL_LINK in self._accepted_links:
             return
-        self._greeted.add(LOCAL_LINK)
+        self._accepted_links.add(LOCAL_LINK)
         self._carry_out(self.owner.hello(self._loop.time(), LOCAL_LINK, self._hello))
 
     def local_message(self, kind: str, body: Any) -> None:
-        """Take in a message of the ingress in this process."""
+        """Handle a message of the ingress of this process."""
         self._handle(LOCAL_LINK, kind, body)
 
     def announce(self, upstream: Announced) -> None:
-        """Take in what the upstream says of itself."""
+        """Handle an announcement; idle connections to another incarnation are closed."""
         before = self.owner.status.upstream
         if before is not None and not incarnation_of(before).is_same(incarnation_of(upstream)):
             self.pool.forget()
@@ -148,22 +148,21 @@
         self._carry_out(self.owner.announce(self._loop.time(), upstream))
 
     def learn_crashes(self, suspects: list[Suspect]) -> None:
-        """Take in what another daemon knows of calls that end upstreams."""
+        """Merge what another daemon knows of calls that crash upstreams."""
         self._carry_out(self.owner.learn_crashes(self._loop.time(), suspects))
 
     def announced_again(self, cold_s: float) -> None:
-        """Take in that the upstream is at its address; it says that it is cold for `cold_s` yet."""
+        """Handle an announcement that only updates the remaining cold time, `cold_s` seconds."""
         self._carry_out(self.owner.announced_again(self._loop.time(), cold_s))
 
     def set_cold_rate(self, rate: ColdRate) -> None:
-        """Take over what the upstream bears while it is cold."""
+        """Set the call rate of the upstream while it is cold."""
         self._carry_out(self.owner.set_cold_rate(self._loop.time(), rate, self.began))
 
     def set_evacuated(self, evacuated: bool) -> None:
-        """Take no new work while this data centre is evacuated.
+        """Stop admitting calls while this data centre is evacuated.
 
-        Afterwards the upstream gets what it bears if it has turned cold, until it says that it has
-        not.
+        Afterwards the upstream is assumed to be cold, and a sample of it is requested.
         """
         if evacuated == (EVACUATED in self.owner.status.leaving_sources):
             return
@@ -173,88 +172,88 @@
         else:
             self._carry_out(self.owner.end_evacuation(self._loop.time()))
             self.sampler.ask()
-        self._log_change(before)
+        self._log_state_change(before)
 
     def set_queue_limits(self, limits: QueueLimits) -> None:
-        """Take over the sizes of the queue."""
+        """Set the limits of the queue."""
         self._carry_out(self.owner.set_queue_limits(self._loop.time(), limits))
 
     @property
     def goaway_pending(self) -> bool:
-        """Return whether ingresses are being told that no call is taken any more."""
+        """Return whether `send_goaway` waits for an acknowledgement."""
         return bool(self._goaway_unacked)
 
     async def send_goaway(self, limit: float) -> None:
-        """Tell every ingress that no call is taken any more; returns when all have read it.
+        """Send a Goaway to every ingress, and wait until all have acknowledged it, or a timeout.
 
-        What they had sent before is refused meanwhile. A silent one is not waited for long, and
-        not beyond the `limit` of the whole stop, in monotonic seconds, but for a last look.
+        Calls that arrive meanwhile are refused. `limit` is when the shutdown should be over,
+        monotonic seconds; the wait may exceed it by MIN_GOAWAY_TIMEOUT_S.
         """
-        self._goaway_unacked = {link for link in self._greeted if link != LOCAL_LINK}
+        self._goaway_unacked = {link for link in self._accepted_links if link != LOCAL_LINK}
         for link in self._goaway_unacked:
             self._send(link, "Goaway", {"reason": "drain"})
         now = self._loop.time()
-        until = min(now + PART_S, max(limit, now + PART_LEAST_S))
+        until = min(now + GOAWAY_TIMEOUT_S, max(limit, now + MIN_GOAWAY_TIMEOUT_S))
         while self._goaway_unacked and self._loop.time() < until:
-            await asyncio.sleep(PART_LOOK_S)
+            await asyncio.sleep(GOAWAY_CHECK_S)
         self._goaway_unacked.clear()
 
     def ingresses(self) -> list[tuple[int, str]]:
-        """Return the connections of other daemons, each with the daemon's name."""
-        links = [link for link in self._greeted if link != LOCAL_LINK]
+        """Return the connections from other daemons, each with the name of the daemon."""
+        links = [link for link in self._accepted_links if link != LOCAL_LINK]
         return [(link, self.owner.peer_name(link)) for link in links]
 
     def send_to(self, name: str, kind: str, body: Any) -> None:
-        """Write a message to a daemon that has a connection to this one; without one it is lost."""
+        """Send a message over the connection that a daemon opened; without one it is dropped."""
         for link, other in self.ingresses():
             if other == name:
                 self._send(link, kind, body)
                 return
 
     def reply(self, link: int, kind: str, body: Any) -> None:
-        """Write a message to the daemon at the other end of a connection."""
+        """Send a message to the daemon at the other end of a connection."""
         self._send(link, kind, body)
 
     def set_state(self, state: str) -> None:
-        """Take in what the upstream says of itself."""
+        """Set the state of the upstream."""
         before = self.owner.load()["state"]
         self._carry_out(self.owner.set_state(state))
-        self._log_change(before)
+        self._log_state_change(before)
 
     def set_leaving(self, source: str) -> None:
-        """Stop taking new work."""
+        """Stop admitting calls because `source` reports that the upstream is leaving."""
         before = self.owner.load()["state"]
         self._carry_out(self.owner.set_leaving(source))
-        self._log_change(before)
+        self._log_state_change(before)
 
     def clear_leaving(self, source: str) -> None:
-        """Take back what a source said."""
+        """Withdraw the report of `source`; calls are admitted once no source is left."""
         before = self.owner.load()["state"]
         self._carry_out(self.owner.clear_leaving(source))
-        self._log_change(before)
+        self._log_state_change(before)
 
-    def _log_change(self, before: str) -> None:
+    def _log_state_change(self, before: str) -> None:
         after = self.owner.load()["state"]
         if after != before:
-            why = ", ".join(self.owner.status.leaving_sources) or "upstream"
-            logger.info("upstream {} (by {}), was {}", after, why, before)
+            reporters = ", ".join(self.owner.status.leaving_sources) or "upstream"
+            logger.info("upstream is {} (reported by {}), was {}", after, reporters, before)
 
     def _message(self, conn: FrameConnection, kind: str, body: Any) -> None:
         if kind == "Hello":
-            self._greet(conn, body)
+            self._on_hello(conn, body)
             return
-        if conn.number not in self._greeted:
+        if conn.number not in self._accepted_links:
             conn.close()
             return
         self._handle(conn.number, kind, body)
 
-    def _greet(self, conn: FrameConnection, hello: Hello) -> None:
+    def _on_hello(self, conn: FrameConnection, hello: Hello) -> None:
         conn.send("Hello", self._hello)
         if hello["schema"] != SCHEMA_VERSION:
             logger.info("peer {} has message schema {}", hello["name"], hello["schema"])
             conn.close()
             return
-        self._greeted.add(conn.number)
+        self._accepted_links.add(conn.number)
         self._carry_out(self.owner.hello(self._loop.time(), conn.number, hello))
 
     def _handle(self, link: int, kind: str, body: Any) -> None:
@@ -274,7 +273,7 @@
 
     def _lost(self, conn: FrameConnection) -> None:
         self._conns.pop(conn.number, None)
-        self._greeted.discard(conn.number)
+        self._accepted_links.discard(conn.number)
         self._goaway_unacked.discard(conn.number)
         self.owner.link_lost(self._loop.time(), conn.number)
 
@@ -283,27 +282,27 @@
             case Incomplete(True, reason) if reason == CONNECTION_LOST:
                 self._lost_calls.add(ticket, result)
             case _:
-                self._take_result(ticket, result)
+                self._finish_call(ticket, result)
 
-    def _know_lost(self, lost: list[LostCall], ended: bool) -> None:
-        """Take in what became of calls whose connection ended, and perhaps the upstream."""
-        if ended:
+    def _on_calls_lost(self, lost: list[LostCall], crashed: bool) -> None:
+        """Handle calls whose connection was lost, and the crash of the upstream if it crashed."""
+        if crashed:
             tickets = [call.ticket for call in lost]
-            known = ", ".join(self.owner.tickets.log_labels(tickets))
-            logger.warning("upstream ended with {} calls at work: {}", len(lost), known)
+            labels = ", ".join(self.owner.tickets.log_labels(tickets))
+            logger.warning("upstream crashed with {} calls running: {}", len(lost), labels)
             self._carry_out(self.owner.upstream_crashed(self._loop.time(), tickets))
-            self._look_for_upstream()
+            self._start_reconnecting()
         for call in lost:
-            self._take_result(call.ticket, call.result)
+            self._finish_call(call.ticket, call.result)
 
-    def _take_result(self, ticket: int, result: Result) -> None:
+    def _finish_call(self, ticket: int, result: Result) -> None:
         now = self._loop.time()
         hop = self.owner.call_record(now, ticket, result)
         if isinstance(result, Complete):
             self.sampler.heard(result.pace)
         self.owner.status.pace_sampled = self.sampler.watching
-        if _is_away(result):
-            self._look_for_upstream()
+        if _is_unreachable(result):
+            self._start_reconnecting()
         self._carry_out(self.owner.finished(now, ticket, result))
         if hop is not None:
             self._on_hop(hop)
@@ -312,13 +311,13 @@
         self.owner.status.pace_sampled = self.sampler.watching
         self._carry_out(self.owner.sampled(self._loop.time(), sample))
 
-    def _tell_refusals(self) -> None:
+    def _report_refusals(self) -> None:
         for refused in self.owner.refusals.take():
             if self.on_refused is not None:
                 self.on_refused(refused)
 
     def _carry_out(self, actions: list[Action]) -> None:
-        self._tell_refusals()
+        self._report_refusals()
         self._set_timer()
         for action in actions:
             match action:
@@ -331,15 +330,15 @@
                 case ShareSuspects(suspects) if self.on_suspects is not None:
                     self.on_suspects(suspects)
                 case QuarantineCalls(calls):
-                    self._tell_held(calls)
+                    self._report_quarantined(calls)
                 case CloseLink(link):
                     conn = self._conns.get(link)
                     if conn is not None:
                         conn.close()
 
-    def _tell_held(self, calls: list[str]) -> None:
+    def _report_quarantined(self, calls: list[str]) -> None:
         for call in calls:
-            logger.warning("calls like {} are refused: upstreams have ended under them", call)
+            logger.warning("calls like {} are quarantined: upstreams crashed during them", call)
         if self.on_quarantined is not None:
             self.on_quarantined(calls)
 
@@ -351,25 +350,25 @@
         if conn is not None:
             conn.send(kind, body)
 
-    def _look_for_upstream(self) -> None:
-        """Take the upstream for down, and try connections until it takes one.
+    def _start_reconnecting(self) -> None:
+        """Mark the upstream as down, and try to connect until it accepts a connection.
 
-        One that does not announce itself is watched by its health path instead.
+        The state of an upstream that does not announce itself is left to the health checks.
         """
-        if self._reaching is None and self.owner.status.upstream is not None:
+        if self._reconnecting is None and self.owner.status.upstream is not None:
             self.set_state("down")
-            self._reaching = self._loop.create_task(self._reach())
+            self._reconnecting = self._loop.create_task(self._reconnect())
 
-    async def _reach(self) -> None:
+    async def _reconnect(self) -> None:
         while self.owner.status.upstream is not None:
-            await asyncio.sleep(REACH_S)
+            await asyncio.sleep(RECONNECT_INTERVAL_S)
             if await self.pool.reach():
                 break
-        self._reaching = None
+        self._reconnecting = None
         self.set_state("warm")
 
     def _set_timer(self) -> None:
-        """Refuse a waiting call on time: its ingress can still try another owner."""
+        """Schedule the next check, so that a call is refused early enough to try another owner."""
         at = self.owner.next_at(self._loop.time())
         if at is None or (self._timer is not None and self._timer.when() <= at):
             return
@@ -386,14 +385,16 @@
             await asyncio.sleep(TICK_S)
             now = self._loop.time()
             self._carry_out(self.owner.tick(now))
-            self._stop_late()
+            self._cancel_overdue()
 
-    def _stop_late(self) -> None:
+    def _cancel_overdue(self) -> None:
         now = self._loop.time()
         for ticket, limit in self.owner.tickets.running():
             if now > limit:
                 self.pool.cancel(ticket, "deadline-passed")
 
 
-def _is_away(result: Result) -> bool:
-    return isinstance(result, Incomplete) and not result.sent and result.reason == AWAY
+def _is_unreachable(result: Result) -> bool:
+    return (
+        isinstance(result, Incomplete) and not result.sent and result.reason == UPSTREAM_UNREACHABLE
+    )
--- a/foldhoist/daemon/peer_messages.py
+++ b/foldhoist/daemon/peer_messages.py
@@ -1,4 +1,4 @@
-"""What daemons on a platform tell each other beside calls: who takes in which message."""
+"""Dispatches the messages between daemons on a platform, other than calls, to the tasks."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class PeerMessages:
-    """Hands the messages of peers to the tasks that they are for, and answers them."""
+    """Passes the messages of peers to the tasks that handle them, and sends the replies."""
 
     def __init__(self, daemon: MeshDaemon) -> None:
         self._daemon = daemon
 
     def on_outbound(self, name: str, kind: str, body: Any) -> None:
-        """Take in a message on a connection that this daemon opened."""
+        """Handle a message received on a connection that this daemon opened."""
         daemon = self._daemon
         daemon.registry.record_contact(asyncio.get_running_loop().time(), name)
         match kind:
@@ -42,17 +42,17 @@
                 daemon.ingress_task.message(name, kind, body)
 
     def on_inbound(self, link: int, kind: str, body: Any) -> None:
-        """Take in a message on a connection that a peer opened."""
+        """Handle a message received on a connection that a peer opened."""
         daemon = self._daemon
         match kind:
             case "Member":
-                self._member(link, body)
+                self._on_member(link, body)
             case "Remembered":
                 daemon.upstream.remember(incarnations_from_rows(body["ended"]))
             case "Versioned":
                 daemon.versions.on_versioned(daemon.owner.peer_name(link), body)
             case "Crashes":
-                self._crashes(body)
+                self._on_crashes(body)
             case "Roster":
                 daemon.peers.on_roster(body)
                 if body["wanted"]:
@@ -65,31 +65,31 @@
                     daemon.versions.on_fresh(name, body)
 
     def share_suspects(self, suspects: list[Suspect]) -> None:
-        """Have the other data centres hear of calls that end upstreams."""
+        """Send calls suspected of crashing upstreams to the relays of other data centres."""
         self._daemon.peers.send_to_relays("Crashes", {"suspects": suspects, "spread": True})
 
     def store_quarantined(self, calls: list[str]) -> None:
-        """Have the store keep what this daemon has seen of calls that are refused from now on."""
+        """Write newly quarantined calls to the store if this daemon saw one of the crashes."""
         daemon = self._daemon
         if any(daemon.quarantine.is_own(call) for call in calls):
             daemon.peers.rewrite_record()
 
     def send_member(self, link: int, name: str) -> None:
-        """Tell a peer what this daemon is now, on the connection that the peer opened."""
+        """Send this daemon's report to a peer, on the connection that the peer opened."""
         self._daemon.owner_task.reply(link, "Member", self._daemon.describe())
         self._daemon.peers.record_reported(name)
 
     # Steps
 
-    def _crashes(self, message: Crashes) -> None:
-        """Take in, as a relay, what is known elsewhere of calls that end upstreams."""
+    def _on_crashes(self, message: Crashes) -> None:
+        """Merge suspected calls from another daemon; relays them here if `spread` is set."""
         daemon = self._daemon
         daemon.owner_task.learn_crashes(message["suspects"])
         if message["spread"]:
-            passed_on: Crashes = {**message, "spread": False}
-            daemon.peers.broadcast("Crashes", passed_on, local=True)
+            relayed: Crashes = {**message, "spread": False}
+            daemon.peers.broadcast("Crashes", relayed, local=True)
 
-    def _member(self, link: int, member: Member) -> None:
+    def _on_member(self, link: int, member: Member) -> None:
         daemon = self._daemon
         known = daemon.registry.peers.get(member["name"])
         is_new = known is None or known.incarnation != member["incarnation"]
@@ -98,7 +98,7 @@
         ended = daemon.registry.ended_incarnations(member["name"])
         if ended is not None:
             reply(link, "Remembered", {"ended": ended})
-        # It may have been told on a connection of this daemon's, before something changed.
+        # The last report to it, on either connection, may be older than the latest change.
         if is_new or not daemon.peers.has_latest_report(member["name"]):
             self.send_member(link, member["name"])
         reply(link, "Noted", {"ended": member["ended"]})
--- a/tests/unit/daemon/test_frames.py
+++ b/tests/unit/daemon/test_frames.py
@@ -1,4 +1,4 @@
-"""Tests of call connections: broken bytes, another schema version, a peer that does not read."""
+"""Tests of frame connections: invalid data, another schema version, a peer that does not read."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Transport(FakeTransport):
-    """Notes whether it was cut off."""
+    """Records whether the connection was aborted."""
 
     aborted = False
 
@@ -50,7 +50,7 @@
     asyncio.run(inside())
 
 
-def test_a_greeting_is_answered_with_greeting_and_load() -> None:
+def test_a_hello_is_answered_with_a_hello_and_a_load_report() -> None:
     def run(accepted: Accepted) -> None:
         assert [kind for kind, _ in accepted.send("Hello", HELLO)] == ["Hello", "Report"]
         assert not accepted.transport.aborted
@@ -58,7 +58,7 @@
     on_loop(run)
 
 
-def test_a_peer_of_another_schema_version_is_told_ours_and_cut_off() -> None:
+def test_a_peer_of_another_schema_version_gets_a_hello_and_is_disconnected() -> None:
     def run(accepted: Accepted) -> None:
         other = {**HELLO, "schema": SCHEMA_VERSION + 1}
         ((kind, body),) = accepted.send("Hello", other)
@@ -68,7 +68,7 @@
     on_loop(run)
 
 
-def test_a_peer_that_does_not_greet_is_cut_off() -> None:
+def test_a_peer_that_sends_no_hello_is_disconnected() -> None:
     def run(accepted: Accepted) -> None:
         assert accepted.send("Withdraw", {"seq": 1}) == []
         assert accepted.transport.aborted
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("data", [b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 40, b"\0" * 10])
-def test_bytes_that_are_no_message_cut_it_off(data: bytes) -> None:
+def test_invalid_data_closes_the_connection(data: bytes) -> None:
     def run(accepted: Accepted) -> None:
         accepted.conn.data_received(data)
         assert accepted.transport.aborted
@@ -86,7 +86,7 @@
     on_loop(run)
 
 
-def test_a_peer_that_does_not_read_is_cut_off() -> None:
+def test_a_peer_that_does_not_read_is_disconnected() -> None:
     conn = FrameConnection(100, lambda *args: None, lambda conn: None)
     transport = Transport()
     conn.connection_made(transport)
--- a/tests/unit/daemon/test_links.py
+++ b/tests/unit/daemon/test_links.py
@@ -1,4 +1,4 @@
-"""A link whose try to connect hangs is tried again when the peer shows that it is there."""
+"""Tests of links: a connection attempt that hangs is repeated when the peer is known to run."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from foldhoist.delivery.codec import SCHEMA_VERSION, encode
 
 WAIT_S = 60.0
-"""Longest wait for anything here, seconds: it ends what hangs, and says nothing of speed."""
+"""Longest wait in these tests, seconds; it only ends a test that hangs."""
 HELLO: Any = {"name": "b", "incarnation": "i", "epoch": 1, "schema": SCHEMA_VERSION}
 
 
 class Peer:
-    """A peer that leaves its first connection without a word and greets on later ones."""
+    """A peer that sends nothing on its first connection, and a Hello on later ones."""
 
     def __init__(self) -> None:
         self.connections = 0
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("shown", [True, False])
-def test_a_try_that_hangs_ends_when_the_peer_has_shown_itself(
+def test_an_attempt_that_hangs_is_repeated_when_the_peer_is_known_to_run(
     monkeypatch: pytest.MonkeyPatch, shown: bool
 ) -> None:
     monkeypatch.setattr(links_module, "CONNECT_TIMEOUT_S", 10 * WAIT_S if shown else 0.05)
