--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -1,4 +1,4 @@
-"""One daemon: wires the tasks that own sockets to the core objects that decide."""
+"""A daemon that reads its configuration from a log: creates its tasks and connects them."""
 
 from __future__ import annotations
 
@@ -50,20 +50,20 @@
     from foldhoist.schema.messages import Hello
     from foldhoist.schema.settings import Settings
 
-EAGER_LINKS = 64
-"""With no more tracked upstreams than this, connections are opened before the first call."""
+MAX_EAGER_LINKS = 64
+"""Up to this number of tracked upstreams, connections are opened before the first call."""
 INITIAL_QUEUE_LIMITS = QueueLimits(slots=1, queue=0, urgent_slots=0, urgent_run=1)
 """Queue limits of the owner before the first configuration names it."""
-DRAIN_LOOK_S = 0.02
-"""Time between two looks at what is still in flight at a planned stop, seconds."""
-QUIET_S = 1.0
-"""Time left to callers with an open connection to use it once more before it closes, seconds."""
+DRAIN_CHECK_S = 0.02
+"""Interval at which calls in flight are checked while draining, seconds."""
+LAST_REQUEST_S = 1.0
+"""Time for callers to send a last request on an open connection while draining, seconds."""
 REPLY_GRACE_S = 0.05
-"""Time left to callers to read their last answer at a planned stop, seconds."""
+"""Time for callers to read their last answer while draining, seconds."""
 
 
 class Daemon:
-    """Everything of one daemon process."""
+    """All tasks and sockets of one daemon process."""
 
     def __init__(self, cfg: Settings, rng: random.Random | None = None) -> None:
         self.cfg = cfg
@@ -104,7 +104,7 @@
             quarantine=quarantine,
         )
         self.owner_task = OwnerTask(
-            self.owner, cfg, self._hello, self._local_frame, self._hop, on_peer=self._on_peer
+            self.owner, cfg, self._hello, self._local_frame, self._record_hop, on_peer=self._on_peer
         )
         ingress = Ingress(
             cfg["daemon"]["data_centre"], cfg["limits"]["calls"], self.rng, quarantine=quarantine
@@ -134,20 +134,20 @@
             cfg, self.client, self.control, self._on_adopt, self.rng
         )
         self.handover = HandoverTask(self.owner, self.control)
-        self.prober = Prober(cfg, self.client, self.owner_task.set_state, self._on_host)
+        self.prober = Prober(cfg, self.client, self.owner_task.set_state, self._on_host_state)
         self.operators = Operators(self)
         self.addresses["operators"] = self.operators.address
         for task in (self.configuration, self.handover, self.prober, self.owner_task):
             task.start()
-        self._late_task = asyncio.get_running_loop().create_task(self.shared.close_late())
+        self._overdue_task = asyncio.get_running_loop().create_task(self.shared.close_late())
         self._counters_task = asyncio.get_running_loop().create_task(self._log_counters())
-        self._quiet_collector()
+        self._configure_gc()
         logger.info("daemon {} started, incarnation {}", self.name, self.incarnation)
 
     async def drain(self) -> None:
-        """Stop as planned: refuse new work, finish what is in flight in both roles, end.
+        """Shut down gracefully: refuse calls to the upstream, finish those in flight, then stop.
 
-        Callers are taken until the upstream's own calls are done, since those may call others.
+        Callers are served until the calls at the upstream are done, as these may make calls here.
         """
         if self.draining:
             return
@@ -159,7 +159,7 @@
         limit = loop.time() + self.cfg["limits"]["drain_ms"] / 1000
         await self._wait_until(lambda: not self.owner.calls, limit)
         self._servers[0].close()
-        quiet = min(limit, loop.time() + QUIET_S)
+        quiet = min(limit, loop.time() + LAST_REQUEST_S)
         await self._wait_until(lambda: not self.shared.open, quiet)
         await self._wait_until(lambda: all(conn.idle for conn in self.shared.open), limit)
         for conn in list(self.shared.open):
@@ -169,7 +169,7 @@
         await self.stop()
 
     def reload(self, cfg: Settings) -> None:
-        """Take over the limits of settings that have changed; others need a restart."""
+        """Apply changed limits; other settings need a restart."""
         found = reread(self.cfg, cfg, LIMITS)
         log_reread(found)
         self.cfg = found.cfg
@@ -181,7 +181,7 @@
     async def stop(self) -> None:
         """Close every socket and end every task."""
         self._counters_task.cancel()
-        self._late_task.cancel()
+        self._overdue_task.cancel()
         for server in self._servers:
             server.close()
         self.operators.close()
@@ -195,7 +195,7 @@
         logger.info("daemon {} stopped", self.name)
         self.stopped.set()
 
-    # What operators read
+    # Metrics
 
     def counters(self) -> dict[str, dict[str, int]]:
         """Return all counters, by part."""
@@ -208,7 +208,7 @@
         }
 
     def gauges(self) -> dict[str, float]:
-        """Return what rises and falls."""
+        """Return all gauges."""
         return {
             **traffic_gauges(self.ingress_task, self.owner_task, self.shared, self.links),
             "generation": self.configuration.state.generation,
@@ -245,7 +245,7 @@
         names = {member.name for members in chosen.values() for member in members}
         if self.name in names or mine is not None:
             self.ingress_task.local_up(self.incarnation)
-        if len(names) <= EAGER_LINKS:
+        if len(names) <= MAX_EAGER_LINKS:
             self.links.connect(sorted(names - {self.name}))
 
     def _adopt_as_owner(self, state: State, fleet: Fleet) -> None:
@@ -288,7 +288,7 @@
             case "Handed":
                 self.handover.on_handed(body)
 
-    def _on_host(self, state: str) -> None:
+    def _on_host_state(self, state: str) -> None:
         if state == "leaving":
             self.owner_task.set_leaving("host-list")
         elif state == "live":
@@ -297,7 +297,7 @@
     def _local_frame(self, kind: str, body: Any) -> None:
         self.ingress_task.message(self.name, kind, body)
 
-    def _hop(self, call: Ended) -> None:
+    def _record_hop(self, call: Ended) -> None:
         hop = Hop(self.name, time.time(), call)
         self.ring.add_hop(hop)
         self.spans.hop(hop)
@@ -307,7 +307,7 @@
     async def _wait_until(self, is_done: Callable[[], bool], limit: float) -> None:
         loop = asyncio.get_running_loop()
         while not is_done() and loop.time() < limit:
-            await asyncio.sleep(DRAIN_LOOK_S)
+            await asyncio.sleep(DRAIN_CHECK_S)
 
     async def _log_counters(self) -> None:
         every = self.cfg["observe"]["counters_s"]
@@ -315,7 +315,7 @@
             await asyncio.sleep(every)
             logger.info("counters {}", self.counters())
 
-    def _quiet_collector(self) -> None:
+    def _configure_gc(self) -> None:
         gc.collect()
         gc.freeze()
         gc.set_threshold(20_000, 20, 50)
--- a/foldhoist/daemon/frames.py
+++ b/foldhoist/daemon/frames.py
@@ -26,7 +26,7 @@
 class FrameConnection(asyncio.Protocol):
     """One connection; `on_message(conn, kind, body)` and `on_lost(conn)` run in the event loop.
 
-    `limit` is the longest message allowed, bytes.
+    `limit` bounds each message, and all incomplete answers together, bytes.
     """
 
     def __init__(
--- a/foldhoist/daemon/ingress_task.py
+++ b/foldhoist/daemon/ingress_task.py
@@ -1,4 +1,4 @@
-"""Runs the ingress object: gives it requests and frames, carries out its actions."""
+"""Runs the ingress: passes requests and messages to it, and carries out its actions."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class IngressTask:
-    """The ingress role of a daemon."""
+    """The ingress role of a daemon: carries out the actions that the ingress returns."""
 
     def __init__(
         self, ingress: Ingress, ring: Ring, latencies: Latencies, spans: Spans | None
@@ -41,17 +41,17 @@
         self._loop = asyncio.get_running_loop()
 
     def connect(self, name: str, links: Links, owner_task: OwnerTask) -> None:
-        """Set where frames go: to the owner in this process, or over links."""
+        """Set the owner of this process, and the links to other owners."""
         self._name = name
         self._links = links
         self._owner_task = owner_task
 
     def now(self) -> float:
-        """Return the monotonic clock that the ingress object is given, seconds."""
+        """Return the time that the ingress is given, monotonic seconds."""
         return self._loop.time()
 
     def arrive(self, conn: CallerConnection, req: CallerRequest) -> None:
-        """Take in a request."""
+        """Handle a request of a caller."""
         call_id = self._next_call
         self._next_call += 1
         self._callers[call_id] = conn
@@ -61,13 +61,13 @@
         self._carry_out(self.ingress.arrive(self._loop.time(), call_id, req))
 
     def caller_disconnected(self, call_id: int) -> None:
-        """Take in that a caller left before its answer."""
+        """Handle a caller that disconnected before its answer."""
         if self._callers.pop(call_id, None) is None:
             return
         self._carry_out(self.ingress.caller_disconnected(self._loop.time(), call_id))
 
     def message(self, target: str, kind: str, body: Any) -> None:
-        """Take in a frame of an owner."""
+        """Handle a message of an owner."""
         now = self._loop.time()
         match kind:
             case "Answer":
@@ -84,15 +84,15 @@
                 self._owner_task.learn_crashes(body["suspects"])
 
     def link_up(self, target: str, incarnation: str) -> None:
-        """Take in a new connection to an owner."""
+        """Handle a new connection to an owner."""
         self._carry_out(self.ingress.link_up(self._loop.time(), target, incarnation))
 
     def link_lost(self, target: str) -> None:
-        """Take in that a connection fell."""
+        """Handle a lost connection to an owner."""
         self._carry_out(self.ingress.link_lost(self._loop.time(), target))
 
     def link_refused(self, target: str) -> None:
-        """Take in that an owner's process is gone."""
+        """Handle a refused connection: the process of the owner is not running."""
         self._carry_out(self.ingress.link_refused(self._loop.time(), target))
 
     def adopt(
@@ -103,16 +103,16 @@
         homes: Mapping[str, tuple[str, ...]],
         daemons: int = 1,
     ) -> None:
-        """Take over a configuration."""
+        """Adopt a configuration."""
         now = self._loop.time()
         self._carry_out(self.ingress.adopt(now, generation, fleet, tracked, homes, daemons))
 
     def track(self, tracked: dict[str, list[Member]], daemons: int) -> None:
-        """Take over the upstreams to choose from."""
+        """Set the upstreams to choose from."""
         self._carry_out(self.ingress.track(self._loop.time(), tracked, daemons))
 
     def local_up(self, incarnation: str) -> None:
-        """Connect to the owner in this process, which cannot be lost."""
+        """Connect to the owner of this process; this connection cannot be lost."""
         self._owner_task.local_hello()
         self.link_up(self._name, incarnation)
 
@@ -125,7 +125,7 @@
                     conn = self._callers.pop(call_id, None)
                     if conn is not None:
                         conn.answer(verdict, trace_id(record.trace))
-                    self._ended(record)
+                    self._record_call(record)
                 case Connect(targets):
                     self._links.connect(name for name in targets if name != self._name)
         self._set_timer()
@@ -136,7 +136,7 @@
             return
         self._links.send(target, kind, body)
 
-    def _ended(self, record: Record) -> None:
+    def _record_call(self, record: Record) -> None:
         self._ring.add_call(record)
         if self.on_ended is not None:
             self.on_ended(record)
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -1,4 +1,4 @@
-"""One daemon on a platform that an adapter speaks to: upstreams announce themselves."""
+"""A daemon on a platform that is reached through an adapter; upstreams announce themselves."""
 
 from __future__ import annotations
 
@@ -61,11 +61,11 @@
     "[platform] quota_slack",
     "[observe] log_share",
 }
-"""Settings that a daemon takes over while it runs."""
+"""Settings that can be changed without a restart."""
 
 
 class MeshDaemon:
-    """Everything of one daemon process whose platform is reached through an adapter."""
+    """All tasks and sockets of one daemon process."""
 
     def __init__(
         self, cfg: Settings, rng: random.Random | None = None, began: float | None = None
@@ -78,7 +78,7 @@
         self.rng = rng or random.Random()
         self.stopped = asyncio.Event()
         self.addresses: dict[str, str] = {}
-        self._tellings = 0
+        self._reports_made = 0
         self._unknown_evacuated: frozenset[str] = frozenset()
         self._announced_service = cfg["upstream"]["service"]
         self.latencies = Latencies()
@@ -94,7 +94,7 @@
     async def start(self) -> None:
         """Open every socket and start every task."""
         cfg = self.cfg
-        self._make_traffic()
+        self._make_roles()
         self.store = self.adapter.store()
         self.registry = Registry(self.name, self.data_centre)
         self.upstream = UpstreamTask(
@@ -131,18 +131,18 @@
         self.versions.start(self.peers, cfg["platform"]["first_start"])
         self.owner_task.start()
         self.ingress_task.local_up(self.incarnation)
-        self._late_task = asyncio.get_running_loop().create_task(self.shared.close_late())
+        self._overdue_task = asyncio.get_running_loop().create_task(self.shared.close_late())
         gc.collect()
         gc.freeze()
         gc.set_threshold(20_000, 20, 50)
         logger.info("daemon {} started, incarnation {}", self.name, self.incarnation)
 
     async def drain(self) -> None:
-        """Stop as planned."""
+        """Shut down gracefully."""
         await self.stopping.run()
 
     def reload(self, cfg: Settings) -> None:
-        """Take over settings that have changed; some need a restart."""
+        """Apply changed settings, apart from those that need a restart."""
         found = reread(self.cfg, cfg, RELOADABLE)
         log_reread(found)
         self.cfg = found.cfg
@@ -154,13 +154,13 @@
         self._slack.attempts = platform["retry_slack"]
         self._slack.window_s = platform["retry_window_s"]
         self.quotas.keeper.slack = platform["quota_slack"]
-        self._track()
+        self._update_tracked()
         if self.versions.fleet is not None:
             self.shared.adopt(limits_of(limits, self.versions.fleet))
 
     async def stop(self) -> None:
         """Close every socket and end every task."""
-        self._late_task.cancel()
+        self._overdue_task.cancel()
         for server in self._servers:
             server.close()
         self.endpoints.close()
@@ -171,10 +171,10 @@
         logger.info("daemon {} stopped", self.name)
         self.stopped.set()
 
-    # What operators read
+    # Metrics
 
     def metrics(self) -> bytes:
-        """Return all counters and histograms; the library is loaded when somebody asks."""
+        """Return all metrics as text; the library is imported on first use."""
         from foldhoist.observe.metrics import Metrics
 
         return Metrics(self.latencies, self.counters, self.gauges).text()
@@ -190,7 +190,7 @@
         }
 
     def gauges(self) -> dict[str, float]:
-        """Return what rises and falls."""
+        """Return all gauges."""
         return {
             **traffic_gauges(self.ingress_task, self.owner_task, self.shared, self.links),
             "version": self.versions.version.number,
@@ -200,7 +200,7 @@
 
     # Steps
 
-    def _make_traffic(self) -> None:
+    def _make_roles(self) -> None:
         cfg = self.cfg
         self.messages = PeerMessages(self)
         service = cfg["upstream"]["service"]
@@ -221,7 +221,7 @@
             cfg,
             self._hello,
             self._local_frame,
-            self._hop,
+            self._record_hop,
             self.adapter.dialect,
             self.messages.on_inbound,
         )
@@ -243,8 +243,8 @@
         self.links = Links(
             self._hello, cfg["limits"]["body_bytes"] + FRAME_OVERHEAD_BYTES, events, self.rng
         )
-        self.ingress_task.on_ended = self._ended
-        self.owner_task.on_refused = self._refused
+        self.ingress_task.on_ended = self._record_call
+        self.owner_task.on_refused = self._record_refusal
         self.owner_task.on_suspects = self.messages.share_suspects
         self.owner_task.on_quarantined = self.messages.store_quarantined
         self.ingress_task.connect(self.name, self.links, self.owner_task)
@@ -255,7 +255,7 @@
             self.ingress_task,
             self.owner_task,
             lambda: self.registry.peers,
-            self._on_seats,
+            self._on_quota_servers,
         )
 
     async def _listen(self) -> None:
@@ -277,24 +277,24 @@
             self.addresses[name] = "{}:{}".format(*server.sockets[0].getsockname()[:2])
 
     def stop_accepting(self) -> None:
-        """Take no new connections of callers."""
+        """Stop accepting connections of callers."""
         self._servers[0].close()
 
     def _is_ready(self) -> bool:
         return self.versions.fleet is not None and not self.stopping.begun
 
     def _is_service(self, name: str) -> bool:
-        """Return whether the configuration names a service; without one, any may be."""
+        """Return whether the configuration has a service; True if there is no configuration yet."""
         fleet = self.versions.fleet
         return fleet is None or name in fleet["services"]
 
     def describe(self) -> Member:
-        """Return what peers are told of this daemon."""
-        self._tellings += 1
+        """Return the report about this daemon that is sent to peers."""
+        self._reports_made += 1
         return {
             "name": self.name,
             "incarnation": self.incarnation,
-            "telling": self._tellings,
+            "telling": self._reports_made,
             "frames": self.addresses["frames"],
             "data_centre": self.data_centre,
             "version": self.versions.version.number,
@@ -308,13 +308,13 @@
         own = fleet["services"].get(self.owner.service)
         if own is not None and own["health_path"]:
             self.owner_task.sampler.path = own["health_path"]
-        self._bound_cold(fleet)
+        self._set_cold_rate(fleet)
         self._set_evacuated(evacuated(fleet))
         daemons = len(self.registry.peers) + 1
         self.ingress_task.adopt(version.number, fleet, self._tracked(), {}, daemons)
         self.quotas.adopt()
 
-    def _bound_cold(self, fleet: Fleet) -> None:
+    def _set_cold_rate(self, fleet: Fleet) -> None:
         own = fleet["services"].get(self.owner.service)
         if own is not None:
             rate = ColdRate(own["cold_per_s"], own["cold_ms"] / 1000)
@@ -325,46 +325,46 @@
     def _set_evacuated(self, names: frozenset[str]) -> None:
         centres = {peer.data_centre for peer in self.registry.peers.values()} | {self.data_centre}
         for name in sorted(names - centres - self._unknown_evacuated):
-            logger.warning("data centre {} is evacuated, and no host there is known", name)
+            logger.warning("data centre {} is evacuated, but none of its hosts is known", name)
         self._unknown_evacuated = names - centres
         self.owner_task.set_evacuated(self.data_centre in names)
 
     def _on_upstream(self, replaced: bool) -> None:
-        """Take in that the upstream beside this daemon has changed."""
+        """Handle a change of this daemon's upstream."""
         now = asyncio.get_running_loop().time()
         if self.versions.fleet is not None:
-            self._bound_cold(self.versions.fleet)
+            self._set_cold_rate(self.versions.fleet)
         if replaced:
             self.ingress_task.ingress.upstream_replaced(now, self.name)
-        self._track()
-        self._tell_all()
+        self._update_tracked()
+        self._report_change()
 
     def _on_peers(self, changed: list[str]) -> None:
         now = asyncio.get_running_loop().time()
         for name in changed:
             self.ingress_task.ingress.upstream_replaced(now, name)
 
-    def _on_seats(self, hosts: frozenset[str]) -> None:
-        """Keep connections to the hosts that keep quotas."""
+    def _on_quota_servers(self, hosts: frozenset[str]) -> None:
+        """Set the quota servers, to which connections are kept."""
         self.registry.quota_servers = hosts
         self.peers.schedule_link_update()
 
     def _on_links_updated(self) -> None:
         self.readers.set_peers([self.name, *self.registry.neighbours.local_daemons()])
-        self._track()
+        self._update_tracked()
 
-    def _track(self) -> None:
+    def _update_tracked(self) -> None:
         self.ingress_task.track(self._tracked(), len(self.registry.peers) + 1)
 
     def _tracked(self) -> dict[str, list[Tracked]]:
         now = asyncio.get_running_loop().time()
         return self.registry.tracked(now, self.upstream.known.current)
 
-    def _tell_all(self) -> None:
-        """Tell what this daemon is now to its data centre, and to all that may call it."""
-        told = self.peers.report_to_data_centre()
+    def _report_change(self) -> None:
+        """Report a change of this daemon to its data centre and to all connected ingresses."""
+        recipients = self.peers.report_to_data_centre()
         for link, name in self.owner_task.ingresses():
-            if name not in told:
+            if name not in recipients:
                 self.messages.send_member(link, name)
         service = self.upstream.described()["service"]
         if service != self._announced_service:
@@ -374,27 +374,27 @@
     def _on_link_up(self, name: str, incarnation: str) -> None:
         self.peers.on_link_up(name)
         self.ingress_task.link_up(name, incarnation)
-        self._tell_link(name, "up")
+        self._record_link_event(name, "up")
 
     def _on_link_lost(self, name: str) -> None:
         self.peers.on_link_lost(name)
         self.ingress_task.link_lost(name)
-        self._tell_link(name, "lost")
+        self._record_link_event(name, "lost")
 
-    def _tell_link(self, name: str, state: str) -> None:
+    def _record_link_event(self, name: str, state: str) -> None:
         now = asyncio.get_running_loop().time()
         self.events.changed(now, "link", {"peer": name, "state": state})
 
     def _local_frame(self, kind: str, body: Any) -> None:
         self.ingress_task.message(self.name, kind, body)
 
-    def _ended(self, record: Record) -> None:
+    def _record_call(self, record: Record) -> None:
         self.events.call(asyncio.get_running_loop().time(), record)
 
-    def _refused(self, refused: Refused) -> None:
+    def _record_refusal(self, refused: Refused) -> None:
         self.events.refused(asyncio.get_running_loop().time(), refused)
 
-    def _hop(self, call: Ended) -> None:
+    def _record_hop(self, call: Ended) -> None:
         self.events.hop(asyncio.get_running_loop().time(), call)
         self.latencies.record("queue", call.waited_us)
         self.latencies.record("upstream", call.served_us)
--- a/foldhoist/daemon/peer_messages.py
+++ b/foldhoist/daemon/peer_messages.py
@@ -69,7 +69,7 @@
         self._daemon.peers.send_to_relays("Crashes", {"suspects": suspects, "spread": True})
 
     def store_quarantined(self, calls: list[str]) -> None:
-        """Write newly quarantined calls to the store if this daemon saw one of the crashes."""
+        """Write newly quarantined calls to the store if the upstream here crashed during one."""
         daemon = self._daemon
         if any(daemon.quarantine.is_own(call) for call in calls):
             daemon.peers.rewrite_record()
