--- a/tests/unit/daemon/test_links.py
+++ b/tests/unit/daemon/test_links.py
@@ -46,11 +46,11 @@
             await asyncio.sleep(0.005)
 
 
-@pytest.mark.parametrize("retry_now", [True, False])
+@pytest.mark.parametrize("known_running", [True, False])
 def test_an_attempt_that_hangs_is_repeated_when_the_peer_is_known_to_run(
-    monkeypatch: pytest.MonkeyPatch, retry_now: bool
+    monkeypatch: pytest.MonkeyPatch, known_running: bool
 ) -> None:
-    monkeypatch.setattr(links_module, "CONNECT_TIMEOUT_S", 10 * WAIT_S if retry_now else 0.05)
+    monkeypatch.setattr(links_module, "CONNECT_TIMEOUT_S", 10 * WAIT_S if known_running else 0.05)
     up: list[str] = []
 
     async def run() -> None:
@@ -65,7 +65,7 @@
         links.adopt({"b": await peer.start()})
         links.connect(["b"])
         await until(lambda: peer.connections == 1)
-        if retry_now:
+        if known_running:
             links.retry_now("b")
         await until(lambda: up == ["b"])
         assert peer.connections >= 2
