--- a/foldhoist/daemon/ingress_task.py
+++ b/foldhoist/daemon/ingress_task.py
@@ -18,8 +18,8 @@
     from foldhoist.delivery.call import Action, CallerRequest, Record
     from foldhoist.delivery.ingress import Ingress
     from foldhoist.observe.latencies import Latencies
-    from foldhoist.observe.records import Ring
-    from foldhoist.observe.spans import Spans
+    from foldhoist.observe.records import RecordBuffer
+    from foldhoist.observe.spans import SpanExporter
     from foldhoist.routing.picker import Member
     from foldhoist.schema.fleet import Fleet
 
@@ -28,10 +28,14 @@
     """The ingress role of a daemon: carries out the actions that the ingress returns."""
 
     def __init__(
-        self, ingress: Ingress, ring: Ring, latencies: Latencies, spans: Spans | None
+        self,
+        ingress: Ingress,
+        records: RecordBuffer,
+        latencies: Latencies,
+        spans: SpanExporter | None,
     ) -> None:
         self.ingress = ingress
-        self._ring = ring
+        self._records = records
         self._latencies = latencies
         self._spans = spans
         self.on_ended: Callable[[Record], None] | None = None
@@ -137,7 +141,7 @@
         self._links.send(target, kind, body)
 
     def _record_call(self, record: Record) -> None:
-        self._ring.add_call(record)
+        self._records.add_call(record)
         if self.on_ended is not None:
             self.on_ended(record)
         total_us = (record.ended - record.arrived) * 1e6
@@ -145,7 +149,7 @@
         if record.verdict == "answered" and len(record.attempts) == 1:
             self._latencies.record("added", total_us - record.attempts[0].served_us)
         if self._spans is not None:
-            self._spans.call(record, time.time(), self._loop.time())
+            self._spans.export_call(record, time.time(), self._loop.time())
 
     def _set_timer(self) -> None:
         at = self.ingress.next_at()
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -17,7 +17,7 @@
 from foldhoist.config.fleet import evacuated, limits_of
 from foldhoist.config.reread import LIMITS, reread
 from foldhoist.configlog.versions import ReaderElection
-from foldhoist.daemon.callers import CallerConnection, Shared
+from foldhoist.daemon.callers import CallerConnection, ServerState
 from foldhoist.daemon.figures import traffic_counters, traffic_gauges
 from foldhoist.daemon.ingress_task import IngressTask
 from foldhoist.daemon.links import LinkEvents, Links
@@ -36,11 +36,11 @@
 from foldhoist.delivery.services import RetrySlack
 from foldhoist.membership.registry import Registry
 from foldhoist.observe.counters import counters_of
-from foldhoist.observe.events import Events
-from foldhoist.observe.exporting import spans_of
+from foldhoist.observe.events import EventLog
+from foldhoist.observe.exporting import make_span_exporter
 from foldhoist.observe.latencies import Latencies
 from foldhoist.observe.logs import log_reread, write_event
-from foldhoist.observe.records import Ring
+from foldhoist.observe.records import RecordBuffer
 from foldhoist.quarantine.table import Quarantine
 
 if TYPE_CHECKING:
@@ -83,7 +83,7 @@
         self._announced_service = cfg["upstream"]["service"]
         self.latencies = Latencies()
         self.adapter = load_adapter(cfg)
-        self.events = Events(write_event, cfg["observe"]["log_share"], self.rng)
+        self.events = EventLog(write_event, cfg["observe"]["log_share"], self.rng)
         self._hello: Hello = {
             "name": self.name,
             "incarnation": self.incarnation,
@@ -131,7 +131,7 @@
         self.versions.start(self.peers, cfg["platform"]["first_start"])
         self.owner_task.start()
         self.ingress_task.local_up(self.incarnation)
-        self._overdue_task = asyncio.get_running_loop().create_task(self.shared.close_late())
+        self._overdue_task = asyncio.get_running_loop().create_task(self.callers.close_overdue())
         gc.collect()
         gc.freeze()
         gc.set_threshold(20_000, 20, 50)
@@ -156,7 +156,7 @@
         self.quotas.keeper.slack = platform["quota_slack"]
         self._update_tracked()
         if self.versions.fleet is not None:
-            self.shared.adopt(limits_of(limits, self.versions.fleet))
+            self.callers.set_limits(limits_of(limits, self.versions.fleet))
 
     async def stop(self) -> None:
         """Close every socket and end every task."""
@@ -182,7 +182,7 @@
     def counters(self) -> dict[str, dict[str, int]]:
         """Return all counters, by part."""
         return {
-            **traffic_counters(self.ingress_task, self.owner_task, self.shared),
+            **traffic_counters(self.ingress_task, self.owner_task, self.callers),
             "configuration": counters_of(self.versions.count),
             "quotas": self.quotas.counters(),
             "upstream": counters_of(self.upstream.count),
@@ -192,7 +192,7 @@
     def gauges(self) -> dict[str, float]:
         """Return all gauges."""
         return {
-            **traffic_gauges(self.ingress_task, self.owner_task, self.shared, self.links),
+            **traffic_gauges(self.ingress_task, self.owner_task, self.callers, self.links),
             "version": self.versions.version.number,
             "evacuated": len(self.versions.evacuations.data_centres),
             "peers": len(self.registry.peers),
@@ -232,8 +232,8 @@
         ingress = Ingress(
             self.data_centre, cfg["limits"]["calls"], self.rng, self._slack, self.quarantine
         )
-        ring = Ring(cfg["observe"]["records"])
-        self.ingress_task = IngressTask(ingress, ring, self.latencies, spans_of(cfg))
+        records = RecordBuffer(cfg["observe"]["records"])
+        self.ingress_task = IngressTask(ingress, records, self.latencies, make_span_exporter(cfg))
         events = LinkEvents(
             self._on_link_up,
             self._on_link_lost,
@@ -262,12 +262,12 @@
         cfg = self.cfg
         loop = asyncio.get_running_loop()
         task = self.ingress_task
-        self.shared = Shared(
+        self.callers = ServerState(
             cfg["limits"], task.arrive, task.caller_disconnected, self.adapter.dialect
         )
         self._servers: list[asyncio.Server] = []
         makers = {
-            "callers": lambda: CallerConnection(self.shared),
+            "callers": lambda: CallerConnection(self.callers),
             "frames": self.owner_task.connection,
         }
         for name, make in makers.items():
@@ -299,12 +299,12 @@
             "data_centre": self.data_centre,
             "version": self.versions.version.number,
             "evacuated_at": self.versions.evacuations.at,
-            "upstream": self.upstream.described(),
+            "upstream": self.upstream.announcement(),
             "ended": self.upstream.known.ended.rows(),
         }
 
     def _on_adopt(self, version: Version, fleet: Fleet) -> None:
-        self.shared.adopt(limits_of(self.cfg["limits"], fleet))
+        self.callers.set_limits(limits_of(self.cfg["limits"], fleet))
         own = fleet["services"].get(self.owner.service)
         if own is not None and own["health_path"]:
             self.owner_task.sampler.path = own["health_path"]
@@ -366,7 +366,7 @@
         for link, name in self.owner_task.ingresses():
             if name not in recipients:
                 self.messages.send_member(link, name)
-        service = self.upstream.described()["service"]
+        service = self.upstream.announcement()["service"]
         if service != self._announced_service:
             self._announced_service = service
             self.peers.announce()
@@ -383,18 +383,18 @@
 
     def _record_link_event(self, name: str, state: str) -> None:
         now = asyncio.get_running_loop().time()
-        self.events.changed(now, "link", {"peer": name, "state": state})
+        self.events.log_change(now, "link", {"peer": name, "state": state})
 
     def _local_frame(self, kind: str, body: Any) -> None:
         self.ingress_task.message(self.name, kind, body)
 
     def _record_call(self, record: Record) -> None:
-        self.events.call(asyncio.get_running_loop().time(), record)
+        self.events.log_call(asyncio.get_running_loop().time(), record)
 
     def _record_refusal(self, refused: Refused) -> None:
-        self.events.refused(asyncio.get_running_loop().time(), refused)
+        self.events.log_refused(asyncio.get_running_loop().time(), refused)
 
     def _record_hop(self, call: Ended) -> None:
-        self.events.hop(asyncio.get_running_loop().time(), call)
+        self.events.log_hop(asyncio.get_running_loop().time(), call)
         self.latencies.record("queue", call.waited_us)
         self.latencies.record("upstream", call.served_us)
