--- a/foldhoist/daemon/versions_task.py
+++ b/foldhoist/daemon/versions_task.py
@@ -1,4 +1,4 @@
-"""The configuration in force, read from an adapter's store and passed on between daemons."""
+"""Reads the configuration from an adapter's store and distributes it between daemons."""
 
 from __future__ import annotations
 
@@ -30,36 +30,41 @@
     from foldhoist.schema.messages import Evacuated, Fresh, Member, Versioned
 
 MIN_RETRY_S = 0.1
-"""First time from one call to a store that has failed to the next, seconds; it doubles."""
+"""Shortest pause after a failed call to the store, seconds, before jitter."""
 MAX_RETRY_S = 1.0
-"""Longest such time, seconds; a call that hangs longer is followed by another after the first."""
+"""Longest interval between the starts of failing calls, seconds, before jitter.
+
+The interval doubles after each failure. A call that takes longer than the interval is followed by
+the shortest pause.
+"""
 MIN_ANSWER_TIMEOUT_S = 0.9
-"""Longest wait for an answer of the store beside the wait for news, seconds."""
+"""Timeout of a call to the store, beyond the time for which the store waits for data, seconds."""
 MAX_ANSWER_TIMEOUT_S = 2.0
-"""The same after it has failed some times: perhaps it is only slow."""
-ANSWER_GROWS = 1.5
-"""What that wait is multiplied by each time."""
-LEAST_POLL_SHARE = 0.4
-"""Shortest wait for news, as a share of the longest; it is drawn by lot."""
+"""Longest such timeout after repeated failures, seconds, since the store may only be slow."""
+ANSWER_TIMEOUT_GROWTH = 1.5
+"""Factor by which that timeout grows while the store does not answer."""
+MIN_POLL_WAIT_SHARE = 0.4
+"""Shortest wait of a poll as a share of the longest; the wait is random in between."""
 CHECK_INTERVAL_S = 0.2
-"""Time between two looks at whether this daemon is to read, seconds."""
-LISTED_S = 0.5
-"""Longest wait for the list of peers, which says who reads, seconds; the store takes 0.01."""
+"""Interval at which a daemon that does not read the store checks whether it should, seconds."""
+PEER_LIST_TIMEOUT_S = 0.5
+"""Longest wait at the start for the list of peers, which determines the readers, seconds."""
 PEER_CONFIGURATION_TIMEOUT_S = 1.0
-"""A restarted daemon that no peer has given a configuration for so long reads itself, seconds."""
-ACROSS_S = 0.3
-"""Other data centres are told of a new version so much later, seconds: their own readers have
-passed it on by then, and only who still lacks it asks. A change has some seconds.
+"""A restarted daemon without a configuration reads the store after this time, seconds."""
+REMOTE_REPORT_DELAY_S = 0.3
+"""Delay of reports of a change to other data centres, seconds.
+
+Their own readers can distribute it first, so that fewer daemons request it from here.
 """
-REQUEST_S = 0.2
-"""A version that a peer was asked for is not asked for again within this time, seconds."""
-ASK_S = 0.4
-"""Time between two questions to a peer while no reader is heard, seconds."""
+REQUEST_INTERVAL_S = 0.2
+"""Shortest interval between requests for a peer's version, seconds."""
+ASK_INTERVAL_S = 0.4
+"""Mean interval of a reader's requests to peers while the store does not answer, seconds."""
 
 
 @dataclass(slots=True)
 class Counters:
-    """What the configuration task has counted."""
+    """Counters of the configuration task."""
 
     adopted: int = 0
     asked: int = 0
@@ -71,9 +76,9 @@
 
 
 class VersionsTask:
-    """Owns what the operator has ordered: the version in force, and evacuations.
+    """Owns the version of the configuration in force and the evacuations.
 
-    `on_adopt(version, fleet)` is called when either has changed.
+    `on_adopt(version, fleet)` is called when either has changed, once there is a version.
     """
 
     def __init__(
@@ -98,46 +103,57 @@
         self._rng = rng
         self._answered_at = float("-inf")
         self._requested_at = float("-inf")
-        self._answer_s = MIN_ANSWER_TIMEOUT_S
-        self._across: asyncio.TimerHandle | None = None
+        self._answer_timeout_s = MIN_ANSWER_TIMEOUT_S
+        self._remote_report: asyncio.TimerHandle | None = None
         self._loop = asyncio.get_running_loop()
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self, peers: PeersTask, first: bool) -> None:
-        """Start reading and telling; `first` says that nobody has a configuration yet."""
+        """Start reading and reporting; `first` means that no daemon has a configuration yet."""
         self._peers = peers
-        self._alone_at = float("inf") if first else self._loop.time() + PEER_CONFIGURATION_TIMEOUT_S
+        self._read_alone_at = (
+            float("inf") if first else self._loop.time() + PEER_CONFIGURATION_TIMEOUT_S
+        )
         create = self._loop.create_task
-        self._tasks = [create(self._read()), create(self._tell()), create(self._ask())]
+        self._tasks = [
+            create(self._read_loop()),
+            create(self._report_loop()),
+            create(self._ask_loop()),
+        ]
 
     def close(self) -> None:
         """Stop."""
         for task in self._tasks:
             task.cancel()
-        if self._across is not None:
-            self._across.cancel()
+        if self._remote_report is not None:
+            self._remote_report.cancel()
 
     @property
     def version(self) -> Version:
-        """Return the version in force; number 0 is none."""
+        """Return the version in force; number 0 means none."""
         return self.current.version
 
     def on_versioned(self, name: str, message: Versioned) -> None:
-        """Take in a configuration that a peer passed on.
+        """Handle a peer's version and evacuations.
 
-        What came from another data centre is told in this one: its own readers may lack it.
+        A change that came from another data centre is reported in this one, whose readers may not
+        have it.
         """
         evacuated = message.get("evacuated")
-        heard = evacuated is not None and self._hear(evacuated)
-        taken = self._take(Version(message["version"], message["content"]))
-        if (taken or heard) and not self._peers.is_local(name):
+        changed = evacuated is not None and self._apply_evacuated(evacuated)
+        adopted = self._adopt(Version(message["version"], message["content"]))
+        if (adopted or changed) and not self._peers.is_local(name):
             self._peers.broadcast("Fresh", self._fresh(wanted=False), local=True)
 
     def on_fresh(self, name: str, message: Fresh) -> None:
-        """Take in what a peer holds, and how recently the store answered it."""
+        """Handle a peer's report of its version, evacuations and last answer of the store."""
         self._readers.on_report(self._loop.time(), name, message["age_ms"] / 1000)
         evacuated = message.get("evacuated")
-        if evacuated is not None and self._hear(evacuated) and not self._peers.is_local(name):
+        if (
+            evacuated is not None
+            and self._apply_evacuated(evacuated)
+            and not self._peers.is_local(name)
+        ):
             self._peers.broadcast("Fresh", self._fresh(wanted=False), local=True)
         match self.current.reply(message["version"], message["wanted"]):
             case Reply.CONTENT:
@@ -150,22 +166,22 @@
                 self._peers.send(name, "Fresh", self._fresh(wanted=False))
 
     def is_behind(self, member: Member) -> bool:
-        """Return whether a peer lacks what the operator has ordered."""
+        """Return whether a peer's version or evacuations are older."""
         lacks_version = member["version"] < self.version.number
         return lacks_version or member.get("evacuated_at", 0) < self.evacuations.at
 
     def update_for(self, name: str, version: int) -> tuple[str, Versioned | Fresh]:
-        """Return what a peer that is behind is told, as a kind of message and its body.
+        """Return the kind and body of the message to a peer that is behind.
 
-        Content crosses to another data centre only if it is asked for: a restarted daemon would
-        else get it from each of its peers.
+        Content goes to another data centre only on request: a restarted daemon would otherwise get
+        it from each of its peers.
         """
         if version < self.version.number and self._peers.is_local(name):
             return "Versioned", self.as_message()
         return "Fresh", self._fresh(wanted=False)
 
     def as_message(self) -> Versioned:
-        """Return the version in force for a peer."""
+        """Return the version in force and the evacuations as a message."""
         return {
             "version": self.version.number,
             "content": self.version.content,
@@ -175,80 +191,83 @@
     # Steps
 
     def _request(self, name: str) -> None:
-        """Ask a peer for its version, unless one was asked a moment ago."""
+        """Request a peer's version, unless a peer was asked within `REQUEST_INTERVAL_S`."""
         now = self._loop.time()
-        if now - self._requested_at < REQUEST_S:
+        if now - self._requested_at < REQUEST_INTERVAL_S:
             return
         self._requested_at = now
         self._peers.send(name, "Fresh", self._fresh(wanted=True))
 
-    async def _read(self) -> None:
-        pause = MIN_RETRY_S
-        await self._until_listed()
+    async def _read_loop(self) -> None:
+        interval = MIN_RETRY_S
+        await self._wait_for_peer_list()
         while True:
             if not self._is_reader():
                 await asyncio.sleep(CHECK_INTERVAL_S)
                 continue
-            began = self._loop.time()
+            started_at = self._loop.time()
             if await self._read_once():
-                pause = MIN_RETRY_S
+                interval = MIN_RETRY_S
                 continue
-            spent = self._loop.time() - began
-            left = max(MIN_RETRY_S, pause - spent)
-            await asyncio.sleep(left * (0.5 + self._rng.random()))
-            pause = min(MAX_RETRY_S, pause * 2)
+            elapsed = self._loop.time() - started_at
+            remaining = max(MIN_RETRY_S, interval - elapsed)
+            await asyncio.sleep(remaining * (0.5 + self._rng.random()))
+            interval = min(MAX_RETRY_S, interval * 2)
 
-    async def _until_listed(self) -> None:
-        """Wait until it is known who reads: with many daemons it is seldom this one."""
+    async def _wait_for_peer_list(self) -> None:
+        """Wait for the list of peers; without it, every daemon would read the store."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(LISTED_S):
+            async with asyncio.timeout(PEER_LIST_TIMEOUT_S):
                 await self._peers.listed.wait()
 
     def _is_reader(self) -> bool:
         now = self._loop.time()
-        return self._readers.should_read(now) or (self.fleet is None and now >= self._alone_at)
+        return self._readers.should_read(now) or (self.fleet is None and now >= self._read_alone_at)
 
     async def _read_once(self) -> bool:
+        """Read the store; returns whether to read again without a pause."""
         self.count.store_reads += 1
         if self._answered_at == float("-inf"):
-            answer = await self._store.newest(self._answer_s)
+            answer = await self._store.newest(self._answer_timeout_s)
         else:
-            answer = await self._store.poll(self._news_wait_ms(), self._answer_s)
+            answer = await self._store.poll(self._poll_wait_ms(), self._answer_timeout_s)
         if answer.is_error():
-            self._failed(answer.error)
+            self._on_read_failed(answer.error)
             return False
-        self._answer_s = MIN_ANSWER_TIMEOUT_S
+        self._answer_timeout_s = MIN_ANSWER_TIMEOUT_S
         self._answered_at = self._loop.time()
-        self._store_is(True)
-        news = answer.ok
-        if self.evacuations.apply_stored(news.evacuations):
-            self._evacuated()
+        self._set_store_ok(True)
+        data = answer.ok
+        if self.evacuations.apply_stored(data.evacuations):
+            self._on_evacuations_changed()
             self._peers.broadcast("Fresh", self._fresh(wanted=False), local=True)
-            self._pass_across()
-        if news.version is None:
+            self._schedule_remote_report()
+        if data.version is None:
             return self.fleet is not None
-        if self._take(news.version):
-            self._pass_on()
+        if self._adopt(data.version):
+            self._distribute()
         return True
 
-    def _failed(self, fault: StoreFault) -> None:
+    def _on_read_failed(self, fault: StoreFault) -> None:
         self.count.store_errors += 1
         if fault.sent and not self.store_ok:
-            self._answer_s = min(MAX_ANSWER_TIMEOUT_S, self._answer_s * ANSWER_GROWS)
-        self._store_is(False, fault.what)
+            self._answer_timeout_s = min(
+                MAX_ANSWER_TIMEOUT_S, self._answer_timeout_s * ANSWER_TIMEOUT_GROWTH
+            )
+        self._set_store_ok(False, fault.what)
 
-    def _news_wait_ms(self) -> int:
-        """Return how long to wait for news; not at all at a store that has just failed.
+    def _poll_wait_ms(self) -> int:
+        """Return how long the store may wait for data, milliseconds; 0 if its last call failed.
 
-        A call hangs until its time is up if the store falls silent meanwhile, also when the store
-        has long been back. So readers do not wait in step, and ask a failing store briefly.
+        A call to a store that stops answering hangs until its timeout, even if the store recovers
+        earlier. So readers wait for different times, and only briefly after a failure.
         """
         if not self.store_ok:
             return 0
-        share = LEAST_POLL_SHARE + (1.0 - LEAST_POLL_SHARE) * self._rng.random()
+        share = MIN_POLL_WAIT_SHARE + (1.0 - MIN_POLL_WAIT_SHARE) * self._rng.random()
         return int(self._wait_ms * share)
 
-    def _store_is(self, ok: bool, what: str = "") -> None:
+    def _set_store_ok(self, ok: bool, what: str = "") -> None:
         if ok == self.store_ok:
             return
         self.store_ok = ok
@@ -256,14 +275,14 @@
         if not ok:
             self._peers.broadcast("Fresh", self._fresh(wanted=False), local=True)
 
-    def _hear(self, evacuated: Evacuated) -> bool:
-        """Take in what a peer holds; returns whether other data centres are evacuated now."""
+    def _apply_evacuated(self, evacuated: Evacuated) -> bool:
+        """Apply a peer's evacuations; returns whether the evacuated data centres changed."""
         if not self.evacuations.apply_peer(evacuated):
             return False
-        self._evacuated()
+        self._on_evacuations_changed()
         return True
 
-    def _evacuated(self) -> None:
+    def _on_evacuations_changed(self) -> None:
         self.count.evacuations += 1
         names = ", ".join(sorted(self.evacuations.data_centres)) or "none"
         logger.info("data centres evacuated: {}", names)
@@ -271,7 +290,7 @@
             self.fleet = with_evacuated(self.fleet, self.evacuations.data_centres)
             self._on_adopt(self.version, self.fleet)
 
-    def _take(self, version: Version) -> bool:
+    def _adopt(self, version: Version) -> bool:
         if not self.current.wants(version.number):
             return False
         translated = self._adapter.translate(version)
@@ -288,30 +307,32 @@
         self._on_adopt(version, self.fleet)
         return True
 
-    def _pass_on(self) -> None:
-        """Give the data centre the content, and the others word of it: they ask if they lack it."""
+    def _distribute(self) -> None:
+        """Send the content to this data centre, and later a report to the others."""
         self.count.passed_on += 1
         self._peers.broadcast("Versioned", self.as_message(), local=True)
-        self._pass_across()
+        self._schedule_remote_report()
 
-    def _pass_across(self) -> None:
-        if self._across is None:
-            self._across = self._loop.call_later(ACROSS_S, self._tell_across)
+    def _schedule_remote_report(self) -> None:
+        if self._remote_report is None:
+            self._remote_report = self._loop.call_later(
+                REMOTE_REPORT_DELAY_S, self._report_to_remote
+            )
 
-    def _tell_across(self) -> None:
-        self._across = None
+    def _report_to_remote(self) -> None:
+        self._remote_report = None
         self._peers.broadcast("Fresh", self._fresh(wanted=False), local=False)
 
-    async def _tell(self) -> None:
+    async def _report_loop(self) -> None:
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
             if self.store_ok and self._readers.should_read(self._loop.time()):
                 self._peers.broadcast("Fresh", self._fresh(wanted=False), local=True)
 
-    async def _ask(self) -> None:
-        """While the store does not answer, ask any peer what it holds."""
+    async def _ask_loop(self) -> None:
+        """Ask random peers for their versions while this reader gets no answer from the store."""
         while True:
-            await asyncio.sleep(ASK_S * (0.5 + self._rng.random()))
+            await asyncio.sleep(ASK_INTERVAL_S * (0.5 + self._rng.random()))
             if self.store_ok or not self._readers.should_read(self._loop.time()):
                 continue
             self.count.asked += 1
--- a/tests/unit/daemon/test_versions_task.py
+++ b/tests/unit/daemon/test_versions_task.py
@@ -1,4 +1,4 @@
-"""How the configuration is read from a store that fails, and how that is asked again."""
+"""Reads and retries of a configuration task whose store fails."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
     from expression import Result
 
 WAIT_MS = 5000
-NOTHING = StoreData(None, StoredEvacuations(0, complete=False, records=()))
-FIRST = StoreData(Version(1, b""), StoredEvacuations(1, complete=True, records=()))
-SILENT = StoreFault("did not answer", True)
-ASKED = 40
-"""Calls after which a scripted store says nothing more."""
+NO_CHANGE = StoreData(None, StoredEvacuations(0, complete=False, records=()))
+FIRST_VERSION = StoreData(Version(1, b""), StoredEvacuations(1, complete=True, records=()))
+NO_ANSWER = StoreFault("did not answer", True)
+MAX_CALLS = 40
+"""Calls after which a scripted store does not answer any more."""
 
 
 class Call(NamedTuple):
-    """A call to the store, with what it may take."""
+    """A call to the store with its wait and its answer timeout in seconds."""
 
     kind: str
     wait_ms: int
@@ -35,7 +35,7 @@
 
 
 class ScriptedStore:
-    """Answers by a list; after its end it answers every call at once, up to a number of calls."""
+    """Returns the given answers, then reports no change, up to `MAX_CALLS` calls."""
 
     def __init__(self, answers: list[Result[StoreData, StoreFault]]) -> None:
         self.answers = answers
@@ -48,46 +48,46 @@
 
     async def poll(self, wait_ms: int, answer_s: float) -> Result[StoreData, StoreFault]:
         """Return the next answer."""
-        return await self._answer(Call("news", wait_ms, answer_s))
+        return await self._answer(Call("poll", wait_ms, answer_s))
 
     async def _answer(self, call: Call) -> Result[StoreData, StoreFault]:
-        if len(self.calls) >= ASKED:
+        if len(self.calls) >= MAX_CALLS:
             self.ended.set()
             await asyncio.Event().wait()
         self.calls.append(call)
         await asyncio.sleep(0)
-        return self.answers.pop(0) if self.answers else Ok(NOTHING)
+        return self.answers.pop(0) if self.answers else Ok(NO_CHANGE)
 
 
 class FakeAdapter:
-    """Takes every version."""
+    """Translates every version."""
 
     def translate(self, version: Version) -> Result[Any, str]:
-        """Return something that stands for a configuration."""
+        """Return a placeholder for a configuration."""
         return Ok({"number": version.number, "fleet": {}})
 
 
-class NoPeers:
-    """Nobody to tell; `listed` says whether the list of daemons is known."""
+class FakePeers:
+    """A task of peers without any connected peer; its list of peers is known."""
 
     def __init__(self) -> None:
         self.listed = asyncio.Event()
         self.listed.set()
 
     def broadcast(self, kind: str, body: Any, local: bool | None = None) -> None:
-        """Tell nobody."""
+        """Send nothing."""
 
     def send_to_random(self, kind: str, body: Any) -> None:
-        """Ask nobody."""
+        """Send nothing."""
 
 
-def calls_with(answers: list[Result[StoreData, StoreFault]]) -> list[Call]:
-    """Return the calls that a task makes to a store with these answers."""
+def calls_to_store(answers: list[Result[StoreData, StoreFault]]) -> list[Call]:
+    """Return the calls that a configuration task makes to a store with these answers."""
 
     async def run() -> list[Call]:
         store: Any = ScriptedStore(answers)
         adapter: Any = FakeAdapter()
-        peers: Any = NoPeers()
+        peers: Any = FakePeers()
         task = VersionsTask(
             adapter, store, ReaderElection("a", 6.0), WAIT_MS, lambda *_: None, random.Random(1)
         )
@@ -100,17 +100,17 @@
 
 
 @pytest.mark.parametrize(("first", "reads"), [(False, True), (True, False)])
-def test_a_restarted_daemon_that_nobody_gives_a_configuration_reads_itself(
+def test_a_restarted_daemon_without_a_configuration_reads_the_store(
     monkeypatch: pytest.MonkeyPatch, first: bool, reads: bool
 ) -> None:
-    """At a first start nobody has one yet, and the readers pass it on when it comes."""
+    """At a first start no daemon has one; the readers distribute it when it is published."""
     monkeypatch.setattr(versions_task, "PEER_CONFIGURATION_TIMEOUT_S", 0.0)
     monkeypatch.setattr(versions_task, "CHECK_INTERVAL_S", 0.001)
 
     async def run() -> list[Call]:
-        store: Any = ScriptedStore([Ok(FIRST)])
+        store: Any = ScriptedStore([Ok(FIRST_VERSION)])
         adapter: Any = FakeAdapter()
-        peers: Any = NoPeers()
+        peers: Any = FakePeers()
         readers = ReaderElection("a", 6.0)
         readers.set_peers(["a", *(f"b{number}" for number in range(200))])
         monkeypatch.setattr(readers, "should_read", lambda now: False)
@@ -126,28 +126,32 @@
     assert bool(asyncio.run(run())) is reads
 
 
-def test_readers_do_not_wait_in_step() -> None:
-    """A call that hangs when the store falls silent ends at another time at each reader."""
-    waits = [call.wait_ms for call in calls_with([Ok(FIRST)]) if call.kind == "news"]
-    assert max(waits) <= WAIT_MS
-    assert min(waits) >= 0.4 * WAIT_MS
-    assert len(set(waits)) > ASKED // 2
-
-
-def test_a_store_that_has_failed_is_asked_without_waiting_for_news() -> None:
-    """What hangs in a silent store must not hang on when the store is back."""
-    calls = calls_with([Ok(FIRST), Error(SILENT), Error(SILENT), Error(SILENT)])
-    assert [call.kind for call in calls[:2]] == ["newest", "news"]
-    after = calls[2:5]
-    assert [call.wait_ms for call in after] == [0, 0, 0]
-    assert after[0].answer_s == MIN_ANSWER_TIMEOUT_S
-    assert after[0].answer_s < after[1].answer_s < after[2].answer_s <= MAX_ANSWER_TIMEOUT_S
+def test_readers_wait_for_different_times() -> None:
+    """Calls that hang in a store that stops answering must not all end at the same time."""
+    wait_times_ms = [
+        call.wait_ms for call in calls_to_store([Ok(FIRST_VERSION)]) if call.kind == "poll"
+    ]
+    assert max(wait_times_ms) <= WAIT_MS
+    assert min(wait_times_ms) >= 0.4 * WAIT_MS
+    assert len(set(wait_times_ms)) > MAX_CALLS // 2
+
+
+def test_a_store_that_has_failed_is_polled_without_waiting_for_data() -> None:
+    """A call that hangs in a failed store must end soon after the store recovers."""
+    calls = calls_to_store(
+        [Ok(FIRST_VERSION), Error(NO_ANSWER), Error(NO_ANSWER), Error(NO_ANSWER)]
+    )
+    assert [call.kind for call in calls[:2]] == ["newest", "poll"]
+    retries = calls[2:5]
+    assert [call.wait_ms for call in retries] == [0, 0, 0]
+    assert retries[0].answer_s == MIN_ANSWER_TIMEOUT_S
+    assert retries[0].answer_s < retries[1].answer_s < retries[2].answer_s <= MAX_ANSWER_TIMEOUT_S
     assert calls[5].wait_ms >= 0.4 * WAIT_MS
     assert calls[5].answer_s == MIN_ANSWER_TIMEOUT_S
 
 
-def test_a_start_beside_a_silent_store_asks_again_and_again() -> None:
-    calls = calls_with([Error(SILENT)] * 3 + [Ok(FIRST)])
+def test_a_start_without_answers_of_the_store_is_retried() -> None:
+    calls = calls_to_store([Error(NO_ANSWER)] * 3 + [Ok(FIRST_VERSION)])
     assert [call.kind for call in calls[:4]] == ["newest"] * 4
     assert calls[0].answer_s == MIN_ANSWER_TIMEOUT_S
     assert calls[3].answer_s == MAX_ANSWER_TIMEOUT_S
