--- a/foldhoist/daemon/configuration.py
+++ b/foldhoist/daemon/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force at one daemon: reads the log, asks peers, passes generations on."""
+"""Reads the configuration from the platform's log and distributes it between daemons."""
 
 from __future__ import annotations
 
@@ -35,15 +35,15 @@
     from foldhoist.schema.messages import Ask, Held, Snapshot
     from foldhoist.schema.settings import Settings
 
-ANNOUNCED = 4
-"""Peers that are told of a new generation beside the tree; they ask if they have it not."""
-ANNOUNCE_S = 0.2
-"""Mean time that the tree is given before that, seconds."""
+ANNOUNCED_PEERS = 4
+"""Random peers to which a new generation is announced, so that a failed push leaves no gap."""
+MEAN_ANNOUNCE_DELAY_S = 0.2
+"""Mean delay of the announcement, seconds, in which the push through the tree can arrive."""
 
 
 @dataclass(slots=True)
 class Counters:
-    """What the configuration task has counted."""
+    """Counters of the configuration task."""
 
     adopted: int = 0
     asked: int = 0
@@ -55,7 +55,7 @@
 
 
 class ConfigurationTask:
-    """Owns the state of the configuration; `on_adopt(state, fleet)` is called for each new one."""
+    """Owns the state of the configuration; `on_adopt(state, fleet)` gets each usable generation."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         self.adopted_at = 0.0
         self.adopt_ms = 0.0
         self.peers = PeerSelector(cfg["daemon"]["name"], cfg["peers"]["ask_ms"] / 1000, rng)
-        self._own_read = float("-inf")
+        self._own_read_at = float("-inf")
         self._cfg = cfg
         self._client = client
         self._control = control
@@ -84,9 +84,9 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Start reading and asking."""
+        """Start reading the log and asking peers."""
         loop = asyncio.get_running_loop()
-        self._tasks = [loop.create_task(self._read_log()), loop.create_task(self._ask_peers())]
+        self._tasks = [loop.create_task(self._read_loop()), loop.create_task(self._ask_loop())]
 
     def close(self) -> None:
         """Stop."""
@@ -94,22 +94,22 @@
             task.cancel()
 
     def on_snapshot(self, snapshot: Snapshot) -> None:
-        """Take in a generation that a peer passed on."""
+        """Handle a generation from a peer; one that does not match its digest is dropped."""
         if digest_of(snapshot["content"]) != snapshot["digest"]:
             self.count.stale += 1
             return
-        self._take(from_snapshot(snapshot))
+        self._merge_state(from_snapshot(snapshot))
 
     def on_ask(self, ask: Ask) -> None:
-        """Answer a peer that may have an older generation, or ask it for its newer one."""
-        self._control.send(ask["answer_to"], "Held", self._held())
+        """Answer a peer; send it the state if it is behind, or request its newer generation."""
+        self._control.send(ask["answer_to"], "Held", self._held_message())
         if ask["have"] < self.state.generation:
             self._control.send(ask["answer_to"], "Snapshot", to_snapshot(self.state))
         elif ask["have"] > self.state.generation:
             self._ask(ask["answer_to"])
 
     def on_held(self, held: Held) -> None:
-        """Take in a peer's answer; what it knows of the log counts only if it is not behind."""
+        """Handle a peer's answer: the generation it holds and the time since the log was read."""
         behind = held["generation"] < self.state.generation
         self.peers.on_answer(asyncio.get_running_loop().time(), held, behind)
         if held["generation"] > self.state.generation and self.fleet is not None:
@@ -119,7 +119,7 @@
 
     # The log
 
-    async def _read_log(self) -> None:
+    async def _read_loop(self) -> None:
         poll_s = self._cfg["platform"]["poll_ms"] / 1000
         while True:
             now = asyncio.get_running_loop().time()
@@ -129,26 +129,26 @@
 
     async def _read_once(self) -> None:
         if not self._log_state.exact:
-            await self._read_whole()
+            await self._read_all()
         else:
-            await self._read_on()
-        await self._keep()
+            await self._read_new()
+        await self._refresh_snapshot()
 
-    async def _read_whole(self) -> None:
+    async def _read_all(self) -> None:
         self.count.log_reads += 1
         answer = await read_retained(self._client)
         if answer.is_error():
-            self._log_failed(answer.error)
+            self._on_log_failed(answer.error)
             return
-        self._log_answered()
+        self._on_log_answered()
         self._log_state = answer.ok.state()
         for record in answer.ok.records:
-            self._saw(record)
-        self._take(self._log_state)
+            self._observe(record)
+        self._merge_state(self._log_state)
 
-    async def _read_on(self) -> None:
+    async def _read_new(self) -> None:
         while True:
-            page = await self._page(self._log_state.folded)
+            page = await self._read_page(self._log_state.folded)
             if page is None:
                 return
             if page["oldest"] > self._log_state.folded:
@@ -158,42 +158,42 @@
                 return
             for stored in page["records"]:
                 self._fold(stored["offset"], unpack(stored))
-            self._take(self._log_state)
+            self._merge_state(self._log_state)
 
     def _fold(self, offset: int, record: LogRecord | None) -> None:
         if record is None:
             self._log_state = self._log_state._replace(folded=offset + 1)
             return
         self._log_state = fold(self._log_state, record)
-        self._saw(record)
+        self._observe(record)
 
-    def _saw(self, record: LogRecord) -> None:
+    def _observe(self, record: LogRecord) -> None:
         now = asyncio.get_running_loop().time()
         self._refresher.observe(now, record, self.state)
 
-    async def _page(self, offset: int) -> Page | None:
+    async def _read_page(self, offset: int) -> Page | None:
         self.count.log_reads += 1
         answer = await self._client.read(offset)
         if answer.is_error():
-            self._log_failed(answer.error)
+            self._on_log_failed(answer.error)
             return None
-        self._log_answered()
+        self._on_log_answered()
         return answer.ok
 
-    def _log_answered(self) -> None:
-        self._own_read = asyncio.get_running_loop().time()
-        self._log_is(True)
+    def _on_log_answered(self) -> None:
+        self._own_read_at = asyncio.get_running_loop().time()
+        self._set_log_ok(True)
 
-    def _log_failed(self, error: PlatformError) -> None:
+    def _on_log_failed(self, error: PlatformError) -> None:
         self.count.log_errors += 1
-        self._log_is(False, error.what)
+        self._set_log_ok(False, error.what)
 
-    def _log_is(self, ok: bool, what: str = "") -> None:
+    def _set_log_ok(self, ok: bool, what: str = "") -> None:
         if ok != self.log_ok:
             logger.info("platform log: {}", "reachable" if ok else f"not reachable, {what}")
         self.log_ok = ok
 
-    async def _keep(self) -> None:
+    async def _refresh_snapshot(self) -> None:
         now = asyncio.get_running_loop().time()
         state = self._log_state
         if not self.log_ok or not self._refresher.is_due(now, state):
@@ -206,20 +206,20 @@
 
     # Peers
 
-    async def _ask_peers(self) -> None:
+    async def _ask_loop(self) -> None:
         mean_s = self._cfg["peers"]["ask_ms"] / 1000
-        seeds = [part.strip() for part in self._cfg["peers"]["seeds"].split(",") if part.strip()]
+        seeds = [seed.strip() for seed in self._cfg["peers"]["seeds"].split(",") if seed.strip()]
         while True:
-            self._ask_someone(seeds)
+            self._ask_next_peer(seeds)
             await asyncio.sleep(mean_s * (0.5 + self._rng.random()))
 
-    def _ask_someone(self, seeds: list[str]) -> None:
+    def _ask_next_peer(self, seeds: list[str]) -> None:
         if self.fleet is None:
             if seeds:
                 self._ask(seeds[int(self._rng.random() * len(seeds))])
             return
-        partner = self.peers.next_peer(asyncio.get_running_loop().time())
-        target = self.fleet["targets"].get(partner) if partner else None
+        name = self.peers.next_peer(asyncio.get_running_loop().time())
+        target = self.fleet["targets"].get(name) if name else None
         if target is not None:
             self._ask(target["control"])
 
@@ -232,9 +232,9 @@
         }
         self._control.send(address, "Ask", ask)
 
-    def _held(self) -> Held:
+    def _held_message(self) -> Held:
         now = asyncio.get_running_loop().time()
-        reader, age_ms = self.peers.freshness(now, self._own_read)
+        reader, age_ms = self.peers.freshness(now, self._own_read_at)
         return {
             "generation": self.state.generation,
             "name": self._cfg["daemon"]["name"],
@@ -243,17 +243,17 @@
         }
 
     def _announce(self) -> None:
-        """Tell some of the data centre which generation is held: a dead relay leaves gaps."""
+        """Announce the generation to random peers, since pushes through the tree may fail."""
         if self.fleet is None:
             return
-        for name in self.peers.random_peers(ANNOUNCED):
+        for name in self.peers.random_peers(ANNOUNCED_PEERS):
             target = self.fleet["targets"].get(name)
             if target is not None:
-                self._control.send(target["control"], "Held", self._held())
+                self._control.send(target["control"], "Held", self._held_message())
 
     # Adoption
 
-    def _take(self, state: State) -> None:
+    def _merge_state(self, state: State) -> None:
         merged = merge(self.state, state)
         newer = merged.generation > self.state.generation
         if merged.generation < self.state.generation:
@@ -261,11 +261,11 @@
             return
         self.state = merged
         if newer:
-            self._pass_on(merged)
+            self._push(merged)
             self._adopt(merged)
 
     def _adopt(self, state: State) -> None:
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         name = f"generation {state.generation}"
         fleet, faults = parse_fleet(state.content, name, self._sections)
         if errors(faults):
@@ -275,13 +275,13 @@
         self.count.adopted += 1
         self.adopted_at = time.time()
         logger.info("generation {} in force", state.generation)
-        self._place(fleet)
+        self._update_role(fleet)
         self._on_adopt(state, fleet)
-        self.adopt_ms = (time.perf_counter() - began) * 1000
-        wait = ANNOUNCE_S * (0.5 + self._rng.random())
-        asyncio.get_running_loop().call_later(wait, self._announce)
+        self.adopt_ms = (time.perf_counter() - started_at) * 1000
+        delay_s = MEAN_ANNOUNCE_DELAY_S * (0.5 + self._rng.random())
+        asyncio.get_running_loop().call_later(delay_s, self._announce)
 
-    def _place(self, fleet: Fleet) -> None:
+    def _update_role(self, fleet: Fleet) -> None:
         by_data_centre: dict[str, list[str]] = {}
         for name, target in fleet["targets"].items():
             if target["state"] != "retired":
@@ -291,8 +291,8 @@
             daemon["name"], by_data_centre, daemon["data_centre"], peers["readers"], peers["fanout"]
         )
 
-    def _pass_on(self, state: State) -> None:
-        """Pass a generation on before reading it here, by the places of the one before."""
+    def _push(self, state: State) -> None:
+        """Push a new generation to this daemon's children in the tree of the one before."""
         if self.fleet is None:
             return
         snapshot = to_snapshot(state)
@@ -303,7 +303,7 @@
 
 
 def describe(state: State) -> dict[str, Any]:
-    """Return the state without its content, for operators."""
+    """Return the state without its content, for the operators' status."""
     return {
         "generation": state.generation,
         "digest": state.digest,
--- a/foldhoist/daemon/control.py
+++ b/foldhoist/daemon/control.py
@@ -1,4 +1,4 @@
-"""Control messages between daemons over pynng: one socket to receive, one for each peer sent to."""
+"""Control messages between daemons over pynng: one socket receives, one per peer sends."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
     from foldhoist.schema.settings import Measuring
 
-MOST_PEERS = 48
-"""Peers with an open socket; the longest unused is closed first."""
-MOST_QUEUED = 32
-"""Messages that wait for a peer that is not there; the oldest is dropped first."""
-SEND_MS = 1000
-"""Longest wait for a peer to take a message, milliseconds."""
-LONGEST = 16 * 1024 * 1024
-"""Longest control message after unpacking, bytes."""
-FRAMING = 8
-"""Bytes that pynng adds to a message on the wire."""
+MAX_PEER_SOCKETS = 48
+"""Most peers with an open socket; the least recently used is closed first."""
+MAX_QUEUED = 32
+"""Most messages queued for a peer; the oldest is dropped first."""
+SEND_TIMEOUT_MS = 1000
+"""Timeout of sending a message to a peer, milliseconds."""
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024
+"""Longest control message, before and after decompression, bytes."""
+FRAMING_BYTES = 8
+"""Bytes that pynng adds to each message on the wire."""
 
 
 @dataclass(slots=True)
 class Counters:
-    """What control has counted."""
+    """Counters of control messages."""
 
     bad: int = 0
     dropped: int = 0
@@ -46,16 +46,16 @@
 
 
 class _Peer:
-    """A socket to one peer, with the task that writes to it."""
+    """A socket to one peer, with a queue and the task that sends from it."""
 
     def __init__(self, address: str, count: Counters) -> None:
         self._count = count
-        self._queue: asyncio.Queue[bytes] = asyncio.Queue(MOST_QUEUED)
-        self._socket = pynng.Push0(send_timeout=SEND_MS)
+        self._queue: asyncio.Queue[bytes] = asyncio.Queue(MAX_QUEUED)
+        self._socket = pynng.Push0(send_timeout=SEND_TIMEOUT_MS)
         self._socket.reconnect_time_min = 50
         self._socket.reconnect_time_max = 2000
         self._socket.dial(f"tcp://{address}", block=False)
-        self._task = asyncio.get_running_loop().create_task(self._write())
+        self._task = asyncio.get_running_loop().create_task(self._send_loop())
 
     def send(self, data: bytes) -> None:
         if self._queue.full():
@@ -67,7 +67,7 @@
         self._task.cancel()
         self._socket.close()
 
-    async def _write(self) -> None:
+    async def _send_loop(self) -> None:
         while True:
             data = await self._queue.get()
             try:
@@ -79,11 +79,11 @@
                 self._count.dropped += 1
                 return
             self._count.sent += 1
-            self._count.sent_bytes += len(data) + FRAMING
+            self._count.sent_bytes += len(data) + FRAMING_BYTES
 
 
 class Control:
-    """Sends and receives control messages; what may be sent is bounded here and only here."""
+    """Sends and receives control messages; a token bucket limits the bytes sent to all peers."""
 
     def __init__(
         self, address: str, cfg: Measuring, on_message: Callable[[str, Any], None]
@@ -94,58 +94,58 @@
         loop = asyncio.get_running_loop()
         rate, burst = cfg["control_bytes_per_s"], cfg["control_burst_bytes"]
         self._bucket = TokenBucket(rate, burst, loop.time())
-        self._socket = pynng.Pull0(recv_max_size=LONGEST)
+        self._socket = pynng.Pull0(recv_max_size=MAX_MESSAGE_BYTES)
         listener = self._socket.listen(f"tcp://{address}")
         self.address = str(listener.local_address).removeprefix("tcp://")
-        self._task = loop.create_task(self._read())
+        self._task = loop.create_task(self._receive_loop())
 
     def send(self, address: str, kind: str, body: object) -> bool:
-        """Send a message if the budget has room for it; returns whether it was queued."""
+        """Queue a message for a peer if the byte limit allows it; returns whether it was queued."""
         data = zlib.compress(encode(kind, body), 1)
         now = asyncio.get_running_loop().time()
-        if not self._bucket.take(now, len(data) + FRAMING):
+        if not self._bucket.take(now, len(data) + FRAMING_BYTES):
             self.count.over_budget += 1
             return False
         peer = self._peers.get(address)
         if peer is None:
             peer = self._peers[address] = _Peer(address, self.count)
         self._peers.move_to_end(address)
-        while len(self._peers) > MOST_PEERS:
-            _, old = self._peers.popitem(last=False)
-            old.close()
+        while len(self._peers) > MAX_PEER_SOCKETS:
+            _, evicted = self._peers.popitem(last=False)
+            evicted.close()
         peer.send(data)
         return True
 
     def close(self) -> None:
-        """Close every socket."""
+        """Close all sockets."""
         self._task.cancel()
         for peer in self._peers.values():
             peer.close()
         self._socket.close()
 
-    async def _read(self) -> None:
+    async def _receive_loop(self) -> None:
         while True:
             try:
                 data = await self._socket.arecv()
             except pynng.NNGException as exc:
-                logger.warning("control socket ended: {}", exc)
+                logger.warning("receiving control messages failed: {}", exc)
                 return
             self.count.received += 1
-            self.count.received_bytes += len(data) + FRAMING
+            self.count.received_bytes += len(data) + FRAMING_BYTES
             try:
-                kind, body = decode_frame(_unpack(data))
+                kind, body = decode_frame(_decompress(data))
             except ProtocolError:
                 self.count.bad += 1
                 continue
             self._on_message(kind, body)
 
 
-def _unpack(data: bytes) -> bytes:
-    unpacker = zlib.decompressobj()
+def _decompress(data: bytes) -> bytes:
+    decompressor = zlib.decompressobj()
     try:
-        plain = unpacker.decompress(data, LONGEST)
+        plain = decompressor.decompress(data, MAX_MESSAGE_BYTES)
     except zlib.error as exc:
         raise ProtocolError(f"control message: {exc}") from exc
-    if unpacker.unconsumed_tail:
-        raise ProtocolError("control message too long")
+    if decompressor.unconsumed_tail:
+        raise ProtocolError("control message too long after decompression")
     return plain
--- a/foldhoist/daemon/graceful_shutdown.py
+++ b/foldhoist/daemon/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""A planned stop: callers go elsewhere first, then the upstream's calls, then the process ends."""
+"""Graceful shutdown: callers leave first, then the calls to the upstream end, then the process."""
 
 from __future__ import annotations
 
@@ -12,52 +12,52 @@
 
     from foldhoist.daemon.mesh import MeshDaemon
 
-SERVE_S = 2.3
-"""Time in which callers learn that this daemon is not ready, seconds; it serves on meanwhile."""
-CLOSE_S = 3.2
-"""From here on connections are closed as soon as no request is under way on them, seconds."""
+NOTICE_S = 2.3
+"""Time for which the daemon reports that it is not ready but still serves, seconds."""
+CLOSE_IDLE_AFTER_S = 3.2
+"""Time from the start after which idle connections are closed, seconds."""
 CHECK_INTERVAL_S = 0.02
-"""Time between two looks at what is still in flight, seconds."""
-FLUSH_S = 0.05
+"""Interval at which open connections and calls are checked, seconds."""
+REPLY_GRACE_S = 0.05
 """Time left to callers to read their last answer, seconds."""
 
 
 class GracefulShutdown:
-    """The steps of a planned stop; times count from its beginning."""
+    """The steps of a graceful shutdown, limited by the setting `drain_ms`."""
 
     def __init__(self, daemon: MeshDaemon) -> None:
         self.started = False
         self._daemon = daemon
 
     async def run(self) -> None:
-        """Stop the daemon; a second call does nothing."""
+        """Shut down the daemon; a second call does nothing."""
         if self.started:
             return
         self.started = True
         daemon = self._daemon
         logger.info("draining")
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        limit = began + daemon.cfg["limits"]["drain_ms"] / 1000
-        await self._wait_until(lambda: False, began + SERVE_S)
+        started_at = loop.time()
+        limit = started_at + daemon.cfg["limits"]["drain_ms"] / 1000
+        await self._wait_until(lambda: False, started_at + NOTICE_S)
         daemon.callers.closing = True
         daemon.ingress_task.ingress.admission.begin_shutdown(limit)
-        await self._wait_until(lambda: not daemon.callers.open, began + CLOSE_S)
+        await self._wait_until(lambda: not daemon.callers.open, started_at + CLOSE_IDLE_AFTER_S)
         daemon.owner_task.set_leaving("drain")
         daemon.stop_accepting()
-        await self._wait_until(self._all_closed, limit)
+        await self._wait_until(self._close_idle, limit)
         for conn in list(daemon.callers.open):
             conn.close()
         await self._wait_until(lambda: not daemon.owner.calls, limit)
         await daemon.owner_task.send_goaway(limit)
-        await asyncio.sleep(FLUSH_S)
+        await asyncio.sleep(REPLY_GRACE_S)
         await daemon.stop()
 
-    def _all_closed(self) -> bool:
-        """Close the connections that rest; returns whether none is left.
+    def _close_idle(self) -> bool:
+        """Close the idle connections; returns whether none is left.
 
-        Each is closed on its own: where callers never pause together, the last request would
-        otherwise be taken just before the end and cut off.
+        It does not wait until all are idle at once, which may never happen under load: requests
+        would still be taken just before the end and then be cut off.
         """
         for conn in [conn for conn in self._daemon.callers.open if conn.idle]:
             conn.close()
--- a/foldhoist/daemon/handover.py
+++ b/foldhoist/daemon/handover.py
@@ -1,4 +1,4 @@
-"""Idempotency keys that change their home: asks former homes, answers new ones."""
+"""Transfers idempotency keys whose home has changed, between the former and the new home."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
     from foldhoist.schema.fleet import Fleet
     from foldhoist.schema.messages import Handed, Handover
 
-ASK_AGAIN_S = 0.5
-"""Time between two questions to a former home that has not answered, seconds."""
+RETRY_INTERVAL_S = 0.5
+"""Interval of requests to former homes that have not answered, seconds."""
 
 
 class HandoverTask:
-    """Keeps the owner's key table in step with the configuration in force."""
+    """Applies the configuration in force to the owner's key table, and hands over its keys."""
 
     def __init__(self, owner: Owner, control: Control) -> None:
         self._owner = owner
         self._control = control
         self._fleet: Fleet | None = None
-        self._unanswered: dict[str, Handover] = {}
+        self._early_requests: dict[str, Handover] = {}
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start asking again for what is missing."""
-        self._task = asyncio.get_running_loop().create_task(self._ask_again())
+        """Start repeating the requests that are not answered."""
+        self._task = asyncio.get_running_loop().create_task(self._retry_loop())
 
     def close(self) -> None:
         """Stop."""
@@ -38,24 +38,24 @@
             self._task.cancel()
 
     def adopt(self, generation: int, fleet: Fleet) -> None:
-        """Take over a configuration; from now on only keys of this generation's homes are run."""
+        """Apply a generation; request keys from former homes, and answer requests that waited."""
         self._fleet = fleet
         service = self._owner.service
         others = [name for name in targets_of(fleet, service)]
         self._owner.keys.adopt(_wall_ms(), generation, homes_of(fleet, service), others)
-        self._ask()
-        for name, message in list(self._unanswered.items()):
+        self._request_keys()
+        for name, message in list(self._early_requests.items()):
             if message["generation"] <= generation:
-                del self._unanswered[name]
+                del self._early_requests[name]
                 self.on_handover(message)
 
     def on_handover(self, message: Handover) -> None:
-        """Answer a new home once its generation is adopted here."""
+        """Answer a new home's request, once this daemon has adopted its generation."""
         if message["service"] != self._owner.service:
             return
         keys = self._owner.keys
         if keys.generation < message["generation"]:
-            self._unanswered[message["target"]] = message
+            self._early_requests[message["target"]] = message
             return
         now = asyncio.get_running_loop().time()
         handed: Handed = {
@@ -68,11 +68,11 @@
         self._control.send(message["answer_to"], "Handed", handed)
 
     def on_handed(self, message: Handed) -> None:
-        """Take in what a former home knew."""
+        """Import the keys of a former home."""
         if message["service"] == self._owner.service:
             self._owner.keys.handed(asyncio.get_running_loop().time(), message)
 
-    def _ask(self) -> None:
+    def _request_keys(self) -> None:
         if self._fleet is None:
             return
         for name in self._owner.keys.pending:
@@ -87,10 +87,10 @@
             }
             self._control.send(target["control"], "Handover", message)
 
-    async def _ask_again(self) -> None:
+    async def _retry_loop(self) -> None:
         while True:
-            await asyncio.sleep(ASK_AGAIN_S)
-            self._ask()
+            await asyncio.sleep(RETRY_INTERVAL_S)
+            self._request_keys()
 
 
 def _wall_ms() -> int:
--- a/foldhoist/daemon/operators.py
+++ b/foldhoist/daemon/operators.py
@@ -1,4 +1,4 @@
-"""HTTP for operators, on tornado: status, metrics, records, configuration, drain."""
+"""HTTP server for operators: status, metrics, records, configuration, drain."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
     def initialize(self, daemon: Daemon) -> None:
         self.daemon = daemon
 
-    def give(self, body: Any) -> None:
+    def write_json(self, body: Any) -> None:
         self.set_header("Content-Type", "application/json")
         self.finish(msgspec.json.encode(body))
 
 
 class _Status(_Handler):
     def get(self) -> None:
-        self.give(status_of(self.daemon))
+        self.write_json(status_of(self.daemon))
 
 
 class _Configuration(_Handler):
     def get(self) -> None:
-        self.give(to_snapshot(self.daemon.configuration.state))
+        self.write_json(to_snapshot(self.daemon.configuration.state))
 
 
 class _Records(_Handler):
     def get(self) -> None:
         after = int(self.get_query_argument("after", "0"))
         number, latest = self.daemon.records.since(after)
-        self.give({"number": number, "records": [record_report(each) for each in latest]})
+        self.write_json({"number": number, "records": [record_report(each) for each in latest]})
 
 
 class _Explain(_Handler):
@@ -52,13 +52,13 @@
             for hop in buffer.hops_of(trace)
         ]
         calls = [record_report(record) for record in buffer.calls_of(trace)]
-        self.give({"daemon": self.daemon.name, "calls": calls, "hops": hops})
+        self.write_json({"daemon": self.daemon.name, "calls": calls, "hops": hops})
 
 
 class _Drain(_Handler):
     def post(self) -> None:
         IOLoop.current().spawn_callback(self.daemon.drain)
-        self.give({"draining": True})
+        self.write_json({"draining": True})
 
 
 class OperatorServer:
@@ -74,16 +74,16 @@
             (r"/explain/([0-9a-f]{32})", _Explain, shared),
             (r"/drain", _Drain, shared),
         ]
-        self._listening = listen(routes, daemon.cfg["listen"]["operators"])
-        self.address = self._listening.address
+        self._listener = listen(routes, daemon.cfg["listen"]["operators"])
+        self.address = self._listener.address
 
     def close(self) -> None:
         """Stop listening."""
-        self._listening.server.stop()
+        self._listener.server.stop()
 
 
 def status_of(daemon: Daemon) -> dict[str, Any]:
-    """Return what `foldhoist status` shows; ages in seconds, negative if never heard of."""
+    """Return the status for `foldhoist status`; an age is -1 if there is no load report."""
     state = daemon.configuration.state
     return {
         "name": daemon.name,
@@ -113,23 +113,23 @@
     now = daemon.ingress_task.now()
     rows: list[dict[str, Any]] = []
     for service, picker in daemon.ingress_task.ingress.pickers().items():
-        for track in picker.tracks.values():
-            load = track.load
+        for stats in picker.tracks.values():
+            load = stats.load
             rows.append(
                 {
                     "service": service,
-                    "name": track.name,
-                    "data_centre": track.data_centre,
-                    "linked": track.connected,
+                    "name": stats.name,
+                    "data_centre": stats.data_centre,
+                    "linked": stats.connected,
                     "state": load["state"] if load is not None else "unknown",
-                    "age_s": round(now - track.load_at, 3) if load is not None else -1,
-                    "in_flight": track.in_flight,
+                    "age_s": round(now - stats.load_at, 3) if load is not None else -1,
+                    "in_flight": stats.in_flight,
                     "busy": load["busy"] if load is not None else -1,
                     "queued": load["queued"] if load is not None else -1,
-                    "slots": track.slots,
-                    "latency_ms": round(track.latency_s * 1000, 3),
-                    "errors": round(track.errors, 3),
-                    "ejected_s": round(max(0.0, track.ejected_until - now), 3),
+                    "slots": stats.slots,
+                    "latency_ms": round(stats.latency_s * 1000, 3),
+                    "errors": round(stats.errors, 3),
+                    "ejected_s": round(max(0.0, stats.ejected_until - now), 3),
                 }
             )
     return rows
--- a/foldhoist/daemon/quota_task.py
+++ b/foldhoist/daemon/quota_task.py
@@ -1,4 +1,4 @@
-"""Quotas at one daemon: keeps those that fall to it, and tells its ingress who keeps the others."""
+"""Runs the quota server of a daemon, and sets the quota servers that its ingress asks."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     from foldhoist.daemon.owner_task import OwnerTask
     from foldhoist.schema.messages import CreditAsk
 
-MOST_SHOWN = 20
-"""Quotas that the status shows: however many customers there are, it stays readable."""
+MAX_SHOWN = 20
+"""Most quotas in the status."""
 CHECK_INTERVAL_S = 0.1
-"""Time between two looks at which hosts there are, seconds."""
+"""Interval at which the hosts are updated, seconds."""
 
 
 class QuotaTask:
-    """Owns the keeper of a daemon; does nothing while no customer has a quota."""
+    """Owns the quota server of a daemon; does nothing while no customer has a quota."""
 
     def __init__(
         self,
@@ -34,30 +34,30 @@
         links: Links,
         ingress_task: IngressTask,
         owner_task: OwnerTask,
-        known: Callable[[], Iterable[str]],
+        known_hosts: Callable[[], Iterable[str]],
         on_servers: Callable[[frozenset[str]], None],
     ) -> None:
-        """`known` returns the other hosts; `on_servers` is told which hosts keep quotas, if any."""
+        """`known_hosts` returns the other hosts; `on_servers` gets the quota server candidates."""
         self.name = name
         self.server = QuotaServer(name, slack)
         self._links = links
         self._ingress_task = ingress_task
         self._owner_task = owner_task
-        self._known = known
+        self._known_hosts = known_hosts
         self._on_servers = on_servers
         self._loop = asyncio.get_running_loop()
         self._hosts: frozenset[str] = frozenset()
         self._task: asyncio.Task[None] | None = None
 
     def adopt(self) -> None:
-        """Take over the customers of the configuration that the ingress has in force."""
+        """Apply the customers of the configuration that the ingress has in force."""
         customers = self._ingress_task.ingress.intake.customers
         self.server.adopt(self._loop.time(), customers)
         if customers.has_limited and self._task is None:
-            logger.info("quotas are kept: {} customers", len(list(customers.customers())))
-            self._task = self._loop.create_task(self._look())
+            logger.info("quotas enabled, {} customers", len(list(customers.customers())))
+            self._task = self._loop.create_task(self._update_loop())
         elif not customers.has_limited and self._task is not None:
-            logger.info("quotas are not kept any more")
+            logger.info("quotas disabled")
             self.close()
             self._hosts = frozenset()
             self._on_servers(self._hosts)
@@ -69,59 +69,59 @@
             self._task = None
 
     def on_ask(self, link: int, ask: CreditAsk) -> None:
-        """Answer an ingress that asks for credit."""
+        """Answer an ingress's request for credit, unless it only reports that it asks elsewhere."""
         host = self._owner_task.owner.peer_name(link)
         credit = self.server.on_ask(self._loop.time(), host, ask)
         if ask["elsewhere"]:
-            logger.info("host {} asks another keeper of quotas: no answer came in time", host)
+            logger.info("host {} asks another quota server: it got no answer in time", host)
             return
         self._owner_task.reply(link, "Credit", credit)
 
     def status(self) -> list[dict[str, Any]]:
-        """Return how much is left of the quotas that are kept here, the most used up first."""
+        """Return the credit left of the quotas that are served here, the most used up first."""
         customers = self._ingress_task.ingress.intake.customers
         rows: list[dict[str, Any]] = []
-        for name, left in self.server.levels().items():
+        for name, level in self.server.levels().items():
             customer = customers.named(name)
             if customer is None:
                 continue
-            row = {"customer": name, "left": left, "burst": customer.max_credit}
+            row = {"customer": name, "left": level, "burst": customer.max_credit}
             rows.append({**row, "rate_per_s": customer.rate_per_s})
-        return sorted(rows, key=lambda row: float(row["left"] / row["burst"]))[:MOST_SHOWN]
+        return sorted(rows, key=lambda row: float(row["left"] / row["burst"]))[:MAX_SHOWN]
 
     def counters(self) -> dict[str, int]:
-        """Return what was counted of quotas, as keeper and as ingress."""
-        book = self._ingress_task.ingress.gate.credits
+        """Return the counters of the quota server and of the ingress's side of quotas."""
+        client = self._ingress_task.ingress.gate.credits
         return {
-            "asked": book.asks,
+            "asked": client.asks,
             "denied": self.server.denied,
-            "late": book.late,
+            "late": client.late,
             "lent": self.server.granted_total,
-            "unanswered": book.unanswered,
+            "unanswered": client.unanswered,
         }
 
     # Steps
 
-    async def _look(self) -> None:
+    async def _update_loop(self) -> None:
         while True:
-            self._see()
+            self._update_hosts()
             await asyncio.sleep(CHECK_INTERVAL_S)
 
-    def _see(self) -> None:
-        """Take over which hosts there are now."""
-        hosts = frozenset((self.name, *self._known()))
+    def _update_hosts(self) -> None:
+        """Update the hosts known, connected and reached."""
+        hosts = frozenset((self.name, *self._known_hosts()))
         connected = {name for _, name in self._owner_task.ingresses()}
         self.server.update_hosts(
             self._loop.time(), Hosts(hosts, connected, self._links.connected())
         )
         if hosts != self._hosts:
             self._hosts = hosts
-            self._place(hosts)
+            self._set_hosts(hosts)
 
-    def _place(self, hosts: frozenset[str]) -> None:
-        """Tell this host's ingress, and whoever connects with them, who keeps quotas."""
+    def _set_hosts(self, hosts: frozenset[str]) -> None:
+        """Set the hosts at this host's ingress, and report the quota server candidates."""
         self._ingress_task.ingress.gate.credits.set_hosts(hosts)
-        placed = frozenset(quota_server_candidates(hosts))
-        keeps = "keeps" if self.name in placed else "does not keep"
-        logger.info("quotas are kept by {} hosts; this one {} some", len(placed), keeps)
-        self._on_servers(placed)
+        servers = frozenset(quota_server_candidates(hosts))
+        included = "included" if self.name in servers else "not included"
+        logger.info("quota servers: {} hosts, this one {}", len(servers), included)
+        self._on_servers(servers)
--- a/foldhoist/daemon/store_client.py
+++ b/foldhoist/daemon/store_client.py
@@ -1,4 +1,4 @@
-"""Calls to an adapter's store over HTTP, each with an end."""
+"""HTTP client of an adapter's store, with a timeout for each call."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
     from tornado.httpclient import HTTPRequest
 
 TIMEOUT_S = 2.0
-"""Longest wait for an answer of the store, seconds."""
+"""Default timeout of a call to the store, seconds."""
 ABANDONED_CALL_S = 5.0
-"""The HTTP client closes a connection so long after nobody waits for its answer, seconds."""
+"""Longest time for which the HTTP client keeps a call after its timeout, seconds."""
 
 
 class StoreClient:
-    """The connections to a store."""
+    """Connections to a store."""
 
     def __init__(self) -> None:
         self._http = AsyncHTTPClient(force_instance=True)
 
     async def fetch(
-        self, req: HTTPRequest, limit_s: float = TIMEOUT_S
+        self, req: HTTPRequest, timeout_s: float = TIMEOUT_S
     ) -> Result[bytes, StoreFault]:
-        """Return the body of an answer, or why there is none."""
-        req.connect_timeout = req.request_timeout = limit_s + ABANDONED_CALL_S
+        """Return the body of the response, or the fault."""
+        req.connect_timeout = req.request_timeout = timeout_s + ABANDONED_CALL_S
         try:
-            response = await wait_tolerating_stalls(self._http.fetch(req), limit_s)
+            response = await wait_tolerating_stalls(self._http.fetch(req), timeout_s)
         except HTTPClientError as exc:
             return Error(StoreFault(f"answered {exc.code}", exc.code == 599))
         except ConnectionRefusedError:
@@ -41,5 +41,5 @@
         return Ok(response.body)
 
     def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         self._http.close()
--- a/foldhoist/daemon/traffic_metrics.py
+++ b/foldhoist/daemon/traffic_metrics.py
@@ -1,4 +1,4 @@
-"""What both kinds of daemon count and show of the calls that pass through them."""
+"""Counters and gauges of the calls through a daemon, the same for both kinds of daemon."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def traffic_counters(
     ingress_task: IngressTask, owner_task: OwnerTask, callers: ServerState
 ) -> dict[str, dict[str, int]]:
-    """Return the counters of calls, by part."""
+    """Return the counters of calls by component."""
     return {
         "ingress": counters_of(ingress_task.ingress.count),
         "owner": counters_of(owner_task.owner.count),
@@ -28,7 +28,7 @@
 def traffic_gauges(
     ingress_task: IngressTask, owner_task: OwnerTask, callers: ServerState, links: Links
 ) -> dict[str, float]:
-    """Return what rises and falls with calls."""
+    """Return the gauges of calls and connections."""
     owner = owner_task.owner
     return {
         "ingress_calls": ingress_task.ingress.calls,
--- a/foldhoist/daemon/waits.py
+++ b/foldhoist/daemon/waits.py
@@ -1,4 +1,4 @@
-"""Waits that do not take a standstill of this process for silence of another one."""
+"""A timeout that allows for stalls of this process."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 T = TypeVar("T")
 
 STALL_S = 0.1
-"""A timer that fires so much late tells that this process stood still, seconds."""
+"""A timer that fires this much late shows that this process was stalled, seconds."""
 GRACE_S = 0.2
-"""How long an answer that may have come meanwhile is then waited for, seconds."""
+"""Additional wait after a stall, in which a result that has arrived can be read, seconds."""
 MAX_GRACE_PERIODS = 20
-"""How often that is done for one wait."""
+"""Most additional waits of one call."""
 
 
-async def wait_tolerating_stalls(step: Awaitable[T], limit_s: float) -> T:
-    """Return the result of a step; raise TimeoutError if it took longer than the limit.
+async def wait_tolerating_stalls(awaitable: Awaitable[T], timeout_s: float) -> T:
+    """Return the result of an awaitable; raises TimeoutError if it takes longer than `timeout_s`.
 
-    A step that this process could not attend to, since it stood still, gets a short while more. A
-    step that took too long goes on unheard: it has to end by itself.
+    If the timeout ends during a stall of this process, the awaitable gets `GRACE_S` more. It is not
+    cancelled at the timeout, so it must end by itself.
     """
     loop = asyncio.get_running_loop()
-    task = asyncio.ensure_future(step)
-    task.add_done_callback(_unheard)
-    due = loop.time() + limit_s
+    task = asyncio.ensure_future(awaitable)
+    task.add_done_callback(_retrieve_exception)
+    due = loop.time() + timeout_s
     for _ in range(1 + MAX_GRACE_PERIODS):
         await asyncio.wait({task}, timeout=due - loop.time())
         if task.done():
@@ -36,10 +36,10 @@
         if loop.time() - due < STALL_S:
             break
         due = loop.time() + GRACE_S
-    raise TimeoutError(f"not within {limit_s:g} s")
+    raise TimeoutError(f"no result within {timeout_s:g} s")
 
 
-def _unheard(task: asyncio.Future[Any]) -> None:
-    """Read how a step ended, so that asyncio does not report it as forgotten."""
+def _retrieve_exception(task: asyncio.Future[Any]) -> None:
+    """Retrieve the exception, so that asyncio does not log it as never retrieved."""
     if not task.cancelled():
         task.exception()
