--- a/foldhoist/config/reread.py
+++ b/foldhoist/config/reload.py
@@ -12,7 +12,7 @@
 
     from foldhoist.schema.settings import Settings
 
-LIMITS = frozenset(
+RELOADABLE_LIMITS = frozenset(
     f"[limits] {option}"
     for option in (
         "callers",
@@ -27,30 +27,30 @@
 """Limits that can change while a daemon runs; connections keep their longest body."""
 
 
-class Reread(NamedTuple):
+class ReloadResult(NamedTuple):
     """The settings from now on, what has changed in them, and what waits for a restart."""
 
     cfg: Settings
-    taken: list[str]
-    left: list[str]
+    applied: list[str]
+    restart_required: list[str]
 
 
-def reread(before: Settings, after: Settings, reloadable: Container[str]) -> Reread:
+def merge_reloadable(before: Settings, after: Settings, reloadable: Container[str]) -> ReloadResult:
     """Take over the options that can change while a daemon runs, written as `[section] option`."""
     merged: dict[str, dict[str, Any]] = {}
-    taken: list[str] = []
-    left: list[str] = []
+    applied: list[str] = []
+    restart_required: list[str] = []
     old, new = _sections(before), _sections(after)
     for section, options in new.items():
         merged[section] = dict(old[section])
         for option in differing(old[section], options):
             name = f"[{section}] {option}"
             if name not in reloadable:
-                left.append(name)
+                restart_required.append(name)
                 continue
-            taken.append(name)
+            applied.append(name)
             merged[section][option] = options[option]
-    return Reread(cast("Settings", merged), taken, left)
+    return ReloadResult(cast("Settings", merged), applied, restart_required)
 
 
 def _sections(cfg: Settings) -> dict[str, dict[str, Any]]:
--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -15,7 +15,7 @@
 from foldhoist.admission.cold import ColdRate
 from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import evacuated
-from foldhoist.config.reread import LIMITS, reread
+from foldhoist.config.reload import RELOADABLE_LIMITS, merge_reloadable
 from foldhoist.daemon.callers import CallerConnection, Shared
 from foldhoist.daemon.configuration import ConfigurationTask
 from foldhoist.daemon.control import Control
@@ -35,7 +35,7 @@
 from foldhoist.membership.view import homes, tracked
 from foldhoist.observe.counters import counters_of
 from foldhoist.observe.latencies import Latencies
-from foldhoist.observe.logs import log_reread
+from foldhoist.observe.logs import log_reload
 from foldhoist.observe.metrics import Metrics
 from foldhoist.observe.records import Hop, Ring
 from foldhoist.observe.spans import Spans
@@ -170,8 +170,8 @@
 
     def reload(self, cfg: Settings) -> None:
         """Take over the limits of settings that have changed; others need a restart."""
-        found = reread(self.cfg, cfg, LIMITS)
-        log_reread(found)
+        found = merge_reloadable(self.cfg, cfg, RELOADABLE_LIMITS)
+        log_reload(found)
         self.cfg = found.cfg
         limits = found.cfg["limits"]
         self.shared.adopt(limits)
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -15,7 +15,7 @@
 from foldhoist.admission.due import DueQueue
 from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import evacuated, limits_of
-from foldhoist.config.reread import LIMITS, reread
+from foldhoist.config.reload import RELOADABLE_LIMITS, merge_reloadable
 from foldhoist.configlog.versions import ReaderElection
 from foldhoist.daemon.callers import CallerConnection, Shared
 from foldhoist.daemon.figures import traffic_counters, traffic_gauges
@@ -39,7 +39,7 @@
 from foldhoist.observe.events import Events
 from foldhoist.observe.exporting import spans_of
 from foldhoist.observe.latencies import Latencies
-from foldhoist.observe.logs import log_reread, write_event
+from foldhoist.observe.logs import log_reload, write_event
 from foldhoist.observe.records import Ring
 from foldhoist.quarantine.table import Quarantine
 
@@ -54,7 +54,7 @@
 
 INITIAL_QUEUE_LIMITS = QueueLimits(slots=1, queue=0, urgent_slots=0, urgent_run=8)
 """Queue limits of the owner before its upstream has announced itself."""
-RELOADABLE = LIMITS | {
+RELOADABLE = RELOADABLE_LIMITS | {
     "[upstream] service",
     "[platform] retry_slack",
     "[platform] retry_window_s",
@@ -143,8 +143,8 @@
 
     def reload(self, cfg: Settings) -> None:
         """Take over settings that have changed; some need a restart."""
-        found = reread(self.cfg, cfg, RELOADABLE)
-        log_reread(found)
+        found = merge_reloadable(self.cfg, cfg, RELOADABLE)
+        log_reload(found)
         self.cfg = found.cfg
         limits, platform = found.cfg["limits"], found.cfg["platform"]
         self.adapter.reload(found.cfg)
--- a/foldhoist/observe/logs.py
+++ b/foldhoist/observe/logs.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from loguru import Message
 
-    from foldhoist.config.reread import Reread
+    from foldhoist.config.reload import ReloadResult
     from foldhoist.schema.settings import Observe
 
 TEXT = "{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level} {extra[daemon]} {message}"
@@ -72,10 +72,10 @@
     logger.bind(event=event, **fields).info("{} {}", event, fields)
 
 
-def log_reread(found: Reread) -> None:
+def log_reload(found: ReloadResult) -> None:
     """Tell what was taken over of settings that were read again, and what was not."""
-    logger.info("settings read again, changed: {}", ", ".join(found.taken) or "nothing")
-    for name in found.left:
+    logger.info("settings read again, changed: {}", ", ".join(found.applied) or "nothing")
+    for name in found.restart_required:
         logger.warning("{} has changed: restart the daemon for it", name)
 
 
