--- a/foldhoist/__main__.py
+++ b/foldhoist/__main__.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from foldhoist.commands.began import BEGAN
+from foldhoist.commands.launch_time import LAUNCH_TIME_S
 from foldhoist.commands.output import EXIT_FAULTS, EXIT_UNREACHABLE
 from foldhoist.exceptions import FoldhoistError, UsageError
 
@@ -31,7 +31,7 @@
     if len(args) == 2 and args[0] == "daemon" and not args[1].startswith("-"):
         from foldhoist.commands.daemon import run_daemon
 
-        return run_daemon(args[1], BEGAN)
+        return run_daemon(args[1], LAUNCH_TIME_S)
     from foldhoist.commands.all import run_command
 
     return run_command()
--- a/foldhoist/commands/daemon.py
+++ b/foldhoist/commands/daemon.py
@@ -10,7 +10,7 @@
 import msgspec
 from loguru import logger
 
-from foldhoist.commands.began import BEGAN
+from foldhoist.commands.launch_time import LAUNCH_TIME_S
 from foldhoist.commands.output import EXIT_FAULTS, EXIT_OK, EXIT_UNREACHABLE, print_faults
 from foldhoist.config.faults import show
 from foldhoist.config.settings import load_settings
@@ -29,7 +29,7 @@
 
     :param settings: Path of the daemon's settings file.
     """
-    return run_daemon(settings, BEGAN)
+    return run_daemon(settings, LAUNCH_TIME_S)
 
 
 def run_daemon(settings: str, began: float) -> int:
--- a/foldhoist/commands/began.py
+++ b/foldhoist/commands/launch_time.py
@@ -4,5 +4,5 @@
 
 import time
 
-BEGAN = time.monotonic()
+LAUNCH_TIME_S = time.monotonic()
 """Monotonic seconds."""
