--- a/foldhoist/daemon/configuration.py
+++ b/foldhoist/daemon/configuration.py
@@ -89,7 +89,7 @@
         self._tasks = [loop.create_task(self._read_loop()), loop.create_task(self._ask_loop())]
 
     def close(self) -> None:
-        """Stop."""
+        """Cancel all tasks."""
         for task in self._tasks:
             task.cancel()
 
--- a/foldhoist/daemon/handover.py
+++ b/foldhoist/daemon/handover.py
@@ -33,7 +33,7 @@
         self._task = asyncio.get_running_loop().create_task(self._retry_loop())
 
     def close(self) -> None:
-        """Stop."""
+        """Cancel the task."""
         if self._task is not None:
             self._task.cancel()
 
--- a/foldhoist/daemon/quota_task.py
+++ b/foldhoist/daemon/quota_task.py
@@ -37,7 +37,7 @@
         known_hosts: Callable[[], Iterable[str]],
         on_servers: Callable[[frozenset[str]], None],
     ) -> None:
-        """`known_hosts` returns the other hosts; `on_servers` gets the quota server candidates."""
+        """`known_hosts` returns host names; `on_servers` gets the quota server candidates."""
         self.name = name
         self.server = QuotaServer(name, slack)
         self._links = links
@@ -63,7 +63,7 @@
             self._on_servers(self._hosts)
 
     def close(self) -> None:
-        """Stop."""
+        """Cancel the task."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
@@ -110,9 +110,9 @@
     def _update_hosts(self) -> None:
         """Update the hosts known, connected and reached."""
         hosts = frozenset((self.name, *self._known_hosts()))
-        connected = {name for _, name in self._owner_task.ingresses()}
+        connected_hosts = {name for _, name in self._owner_task.ingresses()}
         self.server.update_hosts(
-            self._loop.time(), Hosts(hosts, connected, self._links.connected())
+            self._loop.time(), Hosts(hosts, connected_hosts, self._links.connected())
         )
         if hosts != self._hosts:
             self._hosts = hosts
@@ -122,6 +122,6 @@
         """Set the hosts at this host's ingress, and report the quota server candidates."""
         self._ingress_task.ingress.gate.credits.set_hosts(hosts)
         servers = frozenset(quota_server_candidates(hosts))
-        included = "included" if self.name in servers else "not included"
-        logger.info("quota servers: {} hosts, this one {}", len(servers), included)
+        keeps = "keeps" if self.name in servers else "does not keep"
+        logger.info("quota servers: {} hosts; this one {} quotas", len(servers), keeps)
         self._on_servers(servers)
--- a/foldhoist/daemon/versions_task.py
+++ b/foldhoist/daemon/versions_task.py
@@ -122,7 +122,7 @@
         ]
 
     def close(self) -> None:
-        """Stop."""
+        """Cancel all tasks."""
         for task in self._tasks:
             task.cancel()
         if self._remote_report is not None:
