--- a/foldhoist/__main__.py
+++ b/foldhoist/__main__.py
@@ -1,4 +1,4 @@
-"""The command line: one function for each command."""
+"""Entry point of the command line."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def main() -> None:
-    """Run the command line and exit with the command's code."""
+    """Run the command and exit with its code."""
     try:
         code = _run()
     except UsageError as exc:
@@ -23,9 +23,9 @@
 
 
 def _run() -> int:
-    """Run a command; a plain `daemon SETTINGS` starts without loading the others.
+    """Run the command that the arguments name and return its code.
 
-    A daemon that was killed is away for as long as its libraries take to load.
+    `daemon SETTINGS` does not import the other commands, so that a daemon restarts sooner.
     """
     args = sys.argv[1:]
     if len(args) == 2 and args[0] == "daemon" and not args[1].startswith("-"):
--- a/foldhoist/commands/__init__.py
+++ b/foldhoist/commands/__init__.py
@@ -1,1 +1,1 @@
-"""One module for each command of the command line."""
+"""The commands of the command line, one module each."""
--- a/foldhoist/commands/all.py
+++ b/foldhoist/commands/all.py
@@ -1,4 +1,4 @@
-"""All commands, and the library that reads their arguments."""
+"""Lists all commands and parses their arguments."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from foldhoist.commands.watch import watch
 
 COMMANDS = [daemon, check, apply, status, config, watch, explain, drain, evacuate, key, version]
-"""Commands in the order in which help lists them."""
+"""Commands in the order of the help."""
 
 
 def run_command() -> int:
-    """Run the command that the arguments name and return its code."""
+    """Run the command that the arguments name and return its exit code."""
     code: int = defopt.run(COMMANDS, cli_options="has_default", no_negated_flags=True)
     return code
--- a/foldhoist/commands/apply.py
+++ b/foldhoist/commands/apply.py
@@ -41,8 +41,8 @@
 if TYPE_CHECKING:
     from foldhoist.schema.fleet import Fleet
 
-AGAIN_S = 0.3
-"""Pause before the log is read again, seconds."""
+RETRY_PAUSE_S = 0.3
+"""Pause after a failed append, before the log is read again, seconds."""
 
 
 def apply(
@@ -57,36 +57,36 @@
 ) -> int:
     """Propose a fleet configuration; it comes into force as a whole or not at all.
 
-    Exits with 0 if it was accepted, 1 if the file has faults, 2 if it was rejected (another
-    operator was faster, or the platform was not reachable before anything was sent), and 3 if
-    that is not known: then run the command again with the id that it prints. Without --base it
-    says what changes against the generation in force, whoever wrote that.
+    Exits with 0 if it was accepted, 1 if the file has faults, 2 if it was rejected (another change
+    came first, or the platform's log could not be read and nothing was sent), and 3 if the result
+    is unknown: then run the same command again with the printed id. Without --base, the changes
+    against the generation in force are printed to standard error.
 
     :param file: Path of the configuration.
     :param log: Address of the platform's log, as IP:port.
     :param stream: Stream that holds the configuration.
-    :param daemon: Operators address of a daemon, asked if the log alone cannot tell.
+    :param daemon: Operators address of a daemon to ask if the log alone does not give the state.
     :param base: Generation that the file was edited from, as `foldhoist config` prints it; the file
         is rejected if another one is in force.
-    :param id: Id of an earlier run whose end is not known.
-    :param json: Print for a program.
+    :param id: Id that an earlier run with an unknown result printed.
+    :param json: Print JSON.
     """
     text, fleet, faults = load_fleet(file)
     if fleet is None:
         print_faults(faults, as_json=json)
         return EXIT_FAULTS
     if id and base_generation(id) is None:
-        raise UsageError(f"{id} is no publish id; give the one that an earlier run printed")
+        raise UsageError(f"{id} is not a publish id; give the one that an earlier run printed")
     proposal = Proposal(file, text, fleet, log, stream, daemon, base)
-    publish_id, ended = asyncio.run(_apply(proposal, id))
-    if isinstance(ended, list):
-        print_faults(ended, as_json=json)
+    publish_id, outcome = asyncio.run(_apply(proposal, id))
+    if isinstance(outcome, list):
+        print_faults(outcome, as_json=json)
         return EXIT_FAULTS
-    return _tell(ended, publish_id, json)
+    return _print_result(outcome, publish_id, json)
 
 
 class Proposal(NamedTuple):
-    """A checked configuration and where to propose it."""
+    """A checked configuration, and where and on what base to propose it."""
 
     file: str
     text: str
@@ -106,11 +106,11 @@
         faults = _change_faults(state, proposal)
         if errors(faults):
             return "", faults
-        rejected = _not_on_base(state, proposal) if not earlier_id else None
+        rejected = _base_mismatch(state, proposal) if not earlier_id else None
         if rejected is not None:
             return "", rejected
         if proposal.base < 0:
-            _tell_changes(state, proposal)
+            _print_changes(state, proposal)
     publish_id = earlier_id or new_publish_id(state or State(), secrets.token_hex(8))
     publisher = Publisher(publish_id, proposal.text)
     return publish_id, await _publish(client, publisher, state, proposal.daemon)
@@ -125,7 +125,7 @@
             return step
         appended = await client.append(pack_publish(step.body))
         if appended.is_error():
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
         state = await _state(client, daemon)
 
 
@@ -140,8 +140,8 @@
         body = await fetch_json(daemon, "/configuration")
     except UnreachableError:
         return state
-    known = from_snapshot(msgspec.convert(body, Snapshot))
-    return merge(state, known) if known.folded >= state.folded else state
+    snapshot = from_snapshot(msgspec.convert(body, Snapshot))
+    return merge(state, snapshot) if snapshot.folded >= state.folded else state
 
 
 def _change_faults(state: State, proposal: Proposal) -> list[Fault]:
@@ -151,8 +151,8 @@
     return check_change(old, proposal.fleet, proposal.file)
 
 
-def _not_on_base(state: State, proposal: Proposal) -> Rejected | None:
-    """Return the rejection of a file that was edited from another generation."""
+def _base_mismatch(state: State, proposal: Proposal) -> Rejected | None:
+    """Return a rejection if the file was edited from a generation that is not in force."""
     if proposal.base < 0 or proposal.base == state.generation:
         return None
     return Rejected(
@@ -161,8 +161,8 @@
     )
 
 
-def _tell_changes(state: State, proposal: Proposal) -> None:
-    """Say on standard error what a file without a named base changes."""
+def _print_changes(state: State, proposal: Proposal) -> None:
+    """Print to standard error what the proposal changes in the configuration in force."""
     if not state.content:
         return
     old, _ = parse_fleet(state.content, "configuration in force")
@@ -172,7 +172,7 @@
         print(f"  {line}", file=sys.stderr)
 
 
-def _tell(step: Step, publish_id: str, json: bool) -> int:
+def _print_result(step: Step, publish_id: str, json: bool) -> int:
     match step:
         case Accepted(generation):
             code, result = EXIT_OK, "accepted"
--- a/foldhoist/commands/check.py
+++ b/foldhoist/commands/check.py
@@ -17,10 +17,10 @@
 def check(file: str, *, json: bool = False) -> int:
     """Check a fleet configuration, or a daemon's settings, and list every fault.
 
-    A file with a [daemon] section is taken as settings. Exits with 1 if there are errors.
+    A file with a [daemon] section is checked as settings. Exits with 1 if there are errors.
 
     :param file: Path of the file.
-    :param json: Print for a program.
+    :param json: Print JSON.
     """
     faults = check_file(file)
     if json:
@@ -33,7 +33,7 @@
 
 
 def check_file(file: str) -> list[Fault]:
-    """Return the faults of a file."""
+    """Return the faults of a settings or configuration file."""
     text, faults = read_text(file)
     if faults:
         return faults
@@ -52,7 +52,7 @@
 
 
 def load_fleet(file: str) -> tuple[str, Fleet | None, list[Fault]]:
-    """Return text, configuration and faults of a file; no configuration if there are errors."""
+    """Return text, configuration and faults of a file; the configuration is None on errors."""
     text, faults = read_text(file)
     if faults:
         return "", None, faults
--- a/foldhoist/commands/config.py
+++ b/foldhoist/commands/config.py
@@ -1,4 +1,4 @@
-"""`foldhoist config`: the configuration in force at one daemon."""
+"""`foldhoist config`: prints the configuration in force at one daemon."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     """Show the configuration in force at a daemon, as it was applied.
 
     :param daemon: Operators address of the daemon, as IP:port.
-    :param json: Print for a program.
+    :param json: Print JSON.
     """
     body = asyncio.run(fetch_json(daemon, "/configuration"))
     if json:
--- a/foldhoist/commands/daemon.py
+++ b/foldhoist/commands/daemon.py
@@ -1,4 +1,4 @@
-"""`foldhoist daemon`: runs one daemon until it is told to stop."""
+"""`foldhoist daemon`: runs one daemon until it is stopped."""
 
 from __future__ import annotations
 
@@ -23,28 +23,29 @@
 
 
 def daemon(settings: str) -> int:
-    """Run one daemon in the foreground; SIGTERM and SIGINT stop it as planned.
+    """Run one daemon in the foreground; SIGTERM and SIGINT shut it down gracefully.
 
-    It prints one JSON line with its addresses on standard output once it listens.
+    Once it listens, it prints one JSON line with its addresses to standard output. SIGHUP makes it
+    read its settings again.
 
     :param settings: Path of the daemon's settings file.
     """
     return run_daemon(settings, LAUNCH_TIME_S)
 
 
-def run_daemon(settings: str, began: float) -> int:
-    """Run one daemon whose process `began` then, monotonic seconds; returns the exit code."""
+def run_daemon(settings: str, launched_s: float) -> int:
+    """Run one daemon and return the exit code; `launched_s` is a monotonic time in seconds."""
     loaded = load_settings(settings)
     if loaded.is_error():
         print_faults(loaded.error, as_json=False)
         return EXIT_FAULTS
     cfg = loaded.ok
     set_up_logs(cfg["observe"], cfg["daemon"]["name"])
-    return asyncio.run(_run(cfg, settings, began))
+    return asyncio.run(_run(cfg, settings, launched_s))
 
 
-async def _run(cfg: Settings, path: str, began: float) -> int:
-    running = _make(cfg, began)
+async def _run(cfg: Settings, path: str, launched_s: float) -> int:
+    running = _make(cfg, launched_s)
     try:
         await running.start()
     except OSError as exc:
@@ -52,8 +53,8 @@
         return EXIT_UNREACHABLE
     loop = asyncio.get_running_loop()
     stops: set[asyncio.Task[None]] = set()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, lambda: stops.add(loop.create_task(running.drain())))
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, lambda: stops.add(loop.create_task(running.drain())))
     loop.add_signal_handler(signal.SIGHUP, _reload, running, path)
     ready = {"ready": running.name, "addresses": running.addresses}
     sys.stdout.write(msgspec.json.encode(ready).decode() + "\n")
@@ -63,7 +64,7 @@
 
 
 def _reload(running: Daemon | MeshDaemon, path: str) -> None:
-    """Read the settings again; a file with faults changes nothing."""
+    """Read the settings again; if the file has errors, the current settings stay."""
     loaded = load_settings(path)
     if loaded.is_error():
         for fault in loaded.error:
@@ -72,12 +73,12 @@
     running.reload(loaded.ok)
 
 
-def _make(cfg: Settings, began: float) -> Daemon | MeshDaemon:
-    """Return the kind of daemon that the settings ask for; only its libraries are loaded."""
+def _make(cfg: Settings, launched_s: float) -> Daemon | MeshDaemon:
+    """Return the daemon that the settings require; imports only the modules of its kind."""
     if cfg["platform"]["adapter"]:
         from foldhoist.daemon.mesh import MeshDaemon
 
-        return MeshDaemon(cfg, began=began)
+        return MeshDaemon(cfg, began=launched_s)
     from foldhoist.daemon.daemon import Daemon
 
     return Daemon(cfg)
--- a/foldhoist/commands/drain.py
+++ b/foldhoist/commands/drain.py
@@ -1,4 +1,4 @@
-"""`foldhoist drain`: stops a daemon as planned."""
+"""`foldhoist drain`: shuts a daemon down gracefully."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def drain(daemon: str, *, json: bool = False) -> int:
-    """Let a daemon finish what it has in flight, take no new work, and end.
+    """Make a daemon take no new calls, finish those in flight, and exit.
 
     :param daemon: Operators address of the daemon, as IP:port.
-    :param json: Print for a program.
+    :param json: Print JSON.
     """
     body = asyncio.run(fetch_json(daemon, "/drain", method="POST"))
     if json:
--- a/foldhoist/commands/evacuate.py
+++ b/foldhoist/commands/evacuate.py
@@ -1,4 +1,4 @@
-"""`foldhoist evacuate`: has nothing sent to a data centre, or ends that."""
+"""`foldhoist evacuate`: evacuates a data centre, or ends its evacuation."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from foldhoist.commands.fetch import fetch_json
 from foldhoist.commands.output import EXIT_FAULTS, EXIT_NOT_FOUND, EXIT_OK
 from foldhoist.config.fleet import data_centres, evacuated, parse_fleet
-from foldhoist.config.options import close_to
+from foldhoist.config.options import suggest_name
 
-_SECTION = re.compile(r"^\[fleet\][^\n]*\n", re.MULTILINE)
-_OPTION = re.compile(r"^evacuated *=.*\n(?:[ \t]+.*\n)*", re.MULTILINE)
+_FLEET_SECTION = re.compile(r"^\[fleet\][^\n]*\n", re.MULTILINE)
+_EVACUATED_OPTION = re.compile(r"^evacuated *=.*\n(?:[ \t]+.*\n)*", re.MULTILINE)
 
 
 def evacuate(
@@ -26,17 +26,17 @@
     end: bool = False,
     json: bool = False,
 ) -> int:
-    """Have nothing sent to the upstreams of a data centre; its hosts go on serving their callers.
+    """Send no calls to the upstreams of a data centre; its hosts still serve their callers.
 
-    The configuration in force is applied anew with that one option changed, against its generation:
-    it is rejected if another operator was faster.
+    The configuration in force is applied again with only the option `evacuated` changed, and with
+    its generation as the base: it is rejected if another change came first.
 
     :param data_centre: Name of the data centre.
     :param daemon: Operators address of any daemon, as IP:port.
     :param log: Address of the platform's log, as IP:port.
     :param stream: Stream that holds the configuration.
-    :param end: Send there again.
-    :param json: Print for a program.
+    :param end: End the evacuation: send calls there again.
+    :param json: Print JSON.
     """
     body = asyncio.run(fetch_json(daemon, "/configuration"))
     if not body["generation"]:
@@ -46,7 +46,7 @@
     fleet, _ = parse_fleet(text, "configuration in force")
     centres = data_centres(fleet)
     if data_centre not in centres:
-        print(f"{data_centre} is no data centre: {close_to(data_centre, centres)}")
+        print(f"{data_centre} is no data centre: {suggest_name(data_centre, centres)}")
         return EXIT_FAULTS
     before = evacuated(fleet)
     after = before - {data_centre} if end else before | {data_centre}
@@ -55,15 +55,17 @@
         return EXIT_OK
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "fleet.ini"
-        file.write_text(with_option(text, sorted(after)))
+        file.write_text(set_evacuated(text, sorted(after)))
         return apply(
             str(file), log=log, stream=stream, daemon=daemon, base=body["generation"], json=json
         )
 
 
-def with_option(text: str, names: list[str]) -> str:
+def set_evacuated(text: str, names: list[str]) -> str:
     """Return the text of a configuration with these data centres evacuated."""
-    plain = _OPTION.sub("", text)
+    without = _EVACUATED_OPTION.sub("", text)
     if not names:
-        return plain
-    return _SECTION.sub(lambda found: f"{found.group()}evacuated = {', '.join(names)}\n", plain, 1)
+        return without
+    return _FLEET_SECTION.sub(
+        lambda match: f"{match.group()}evacuated = {', '.join(names)}\n", without, 1
+    )
--- a/foldhoist/commands/explain.py
+++ b/foldhoist/commands/explain.py
@@ -1,4 +1,4 @@
-"""`foldhoist explain`: the story of one call, from arrival to answer."""
+"""`foldhoist explain`: prints what happened to one call, from arrival to answer."""
 
 from __future__ import annotations
 
@@ -8,97 +8,97 @@
 import msgspec
 
 from foldhoist.commands.fetch import fetch_json
-from foldhoist.commands.log_story import lines_of, read_lines, story_of
+from foldhoist.commands.log_events import format_request, read_events, select_events
 from foldhoist.commands.output import EXIT_FAULTS, EXIT_NOT_FOUND, EXIT_OK, print_json
 from foldhoist.config.fleet import parse_fleet
 from foldhoist.exceptions import UnreachableError
 
 REASONS = {
-    "least-cost": "it had the least expected time",
-    "only-one-open": "no other upstream was open to new calls",
-    "only-ejected-left": "only upstreams that are left out for errors or slowness remained",
-    "trial": "it was left out before, and one call finds out whether it has recovered",
+    "least-cost": "it had the lowest expected time",
+    "only-one-open": "no other upstream accepted new calls",
+    "only-ejected-left": "only upstreams ejected for errors or slowness were left",
+    "trial": "it was ejected, and one call tests whether it has recovered",
     "home-of-the-key": "every call with this idempotency key goes there",
 }
-"""Reasons of a choice, as sentences."""
+"""Reasons for the choice of an upstream, as text."""
 
 
 def explain(
     trace: str, *, daemon: str = "", log: list[str] | None = None, json: bool = False
 ) -> int:
-    """Tell why a call went where it did, from the daemons that it passed or from their logs.
+    """Explain why a call was sent where it was, from the records of all daemons or from their logs.
 
-    :param trace: Id of the call, from its Foldhoist-Trace header; with --log also its own id.
+    :param trace: Trace id of the call, from its Foldhoist-Trace header; with --log also its own id.
     :param daemon: Operators address of any daemon, as IP:port.
     :param log: Files with the log lines of the daemons, - for standard input.
-    :param json: Print for a program.
+    :param json: Print JSON.
     """
     if log:
         return _explain_by_log(trace, log, json)
     if not daemon:
-        print("say where to look: --daemon IP:port, or --log with files of log lines")
+        print("no source: give --daemon IP:port, or --log with log files")
         return EXIT_FAULTS
     if len(trace) != 32 or any(char not in "0123456789abcdef" for char in trace):
-        print(f"{trace} is no trace: give the 32 characters of a Foldhoist-Trace header")
+        print(f"{trace} is not a trace id: give the 32 characters of a Foldhoist-Trace header")
         return EXIT_FAULTS
-    told = asyncio.run(gather(trace, daemon))
-    if not any(part["calls"] or part["hops"] for part in told["parts"]):
-        print(f"no daemon that answered knows {trace}: its records may have been replaced")
+    collected = asyncio.run(collect_records(trace, daemon))
+    if not any(part["calls"] or part["hops"] for part in collected["parts"]):
+        print(f"no daemon that answered has records of {trace}: they may have been overwritten")
         return EXIT_NOT_FOUND
     if json:
-        print_json(told)
+        print_json(collected)
     else:
-        print(story(told))
+        print(format_records(collected))
     return EXIT_OK
 
 
 def _explain_by_log(request: str, paths: list[str], json: bool) -> int:
     try:
-        lines = lines_of(request, read_lines(paths))
+        events = select_events(request, read_events(paths))
     except OSError as exc:
-        print(f"{exc.filename}: cannot be read: {exc.strerror}; name files of log lines")
+        print(f"{exc.filename}: cannot be read: {exc.strerror}; give readable log files")
         return EXIT_FAULTS
-    if not lines:
-        print(f"no line tells of {request}: ordinary calls are sampled, and lines are bounded")
+    if not events:
+        print(f"no log line for {request}: ordinary calls are sampled, and lines are rate-limited")
         return EXIT_NOT_FOUND
     if json:
-        print_json(lines)
+        print_json(events)
     else:
-        print(story_of(request, lines))
+        print(format_request(request, events))
     return EXIT_OK
 
 
-async def gather(trace: str, daemon: str) -> dict[str, Any]:
-    """Ask every daemon of the configuration in force at one of them."""
+async def collect_records(trace: str, daemon: str) -> dict[str, Any]:
+    """Return the records of a call from all daemons in the configuration of one of them."""
     snapshot = await fetch_json(daemon, "/configuration")
     fleet, _ = parse_fleet(snapshot["content"], "configuration in force")
     addresses = [daemon]
     for target in fleet.get("targets", {}).values():
         if target["state"] != "retired" and target["operators"] != daemon:
             addresses.append(target["operators"])
-    asked = [fetch_json(address, f"/explain/{trace}") for address in addresses]
-    answers = await asyncio.gather(*asked, return_exceptions=True)
+    requests = [fetch_json(address, f"/explain/{trace}") for address in addresses]
+    answers = await asyncio.gather(*requests, return_exceptions=True)
     parts: list[dict[str, Any]] = []
-    silent: list[str] = []
+    no_answer: list[str] = []
     for address, answer in zip(addresses, answers, strict=True):
         if isinstance(answer, UnreachableError | msgspec.DecodeError):
-            silent.append(address)
+            no_answer.append(address)
             continue
         if isinstance(answer, BaseException):
             raise answer
         parts.append(answer)
-    return {"trace": trace, "parts": parts, "silent": silent}
+    return {"trace": trace, "parts": parts, "silent": no_answer}
 
 
-def story(told: dict[str, Any]) -> str:
-    """Return the gathered records as text."""
-    lines = [f"call {told['trace']}"]
-    hops = {hop["seq"]: hop for part in told["parts"] for hop in part["hops"]}
-    for part in told["parts"]:
+def format_records(collected: dict[str, Any]) -> str:
+    """Return the collected records as text."""
+    lines = [f"call {collected['trace']}"]
+    hops = {hop["seq"]: hop for part in collected["parts"] for hop in part["hops"]}
+    for part in collected["parts"]:
         for call in part["calls"]:
             lines += _call_lines(part["daemon"], call, hops)
-    for address in told["silent"]:
-        lines.append(f"no answer from the daemon at {address}: its part is missing")
+    for address in collected["silent"]:
+        lines.append(f"no answer from the daemon at {address}: its records are missing")
     return "\n".join(lines)
 
 
--- a/foldhoist/commands/fetch.py
+++ b/foldhoist/commands/fetch.py
@@ -1,4 +1,4 @@
-"""Asks a daemon's operator endpoint."""
+"""Sends requests to the operators address of a daemon."""
 
 from __future__ import annotations
 
@@ -9,18 +9,22 @@
 
 from foldhoist.exceptions import UnreachableError
 
-CONNECT_S = 5.0
-"""Longest wait for a connection: a host that is away takes none, seconds."""
-ANSWER_S = 60.0
-"""Longest wait for the answer of a daemon that took one: its host may be busy, seconds."""
+CONNECT_TIMEOUT_S = 5.0
+"""Timeout for the connection, seconds: a host that is up accepts within it."""
+ANSWER_TIMEOUT_S = 60.0
+"""Timeout for the answer, seconds: longer, because the host of the daemon may be busy."""
 
 
 async def fetch_json(address: str, path: str, method: str = "GET") -> Any:
-    """Return what a daemon answers; raises UnreachableError if it does not."""
+    """Return the JSON answer of a daemon; raises UnreachableError if there is none or an error."""
     body = b"" if method == "POST" else None
     url = f"http://{address}{path}"
     req = HTTPRequest(
-        url, method=method, body=body, connect_timeout=CONNECT_S, request_timeout=ANSWER_S
+        url,
+        method=method,
+        body=body,
+        connect_timeout=CONNECT_TIMEOUT_S,
+        request_timeout=ANSWER_TIMEOUT_S,
     )
     try:
         answer = await AsyncHTTPClient().fetch(req)
--- a/foldhoist/commands/launch_time.py
+++ b/foldhoist/commands/launch_time.py
@@ -1,8 +1,8 @@
-"""When this process began: to be imported before what takes long to load."""
+"""Launch time of this process; to be imported before modules that load slowly."""
 
 from __future__ import annotations
 
 import time
 
 LAUNCH_TIME_S = time.monotonic()
-"""Monotonic seconds."""
+"""Monotonic time, seconds."""
--- a/foldhoist/commands/output.py
+++ b/foldhoist/commands/output.py
@@ -1,4 +1,4 @@
-"""Exit codes, and how commands print."""
+"""Exit codes and printing shared by the commands."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
     from foldhoist.config.faults import Fault
 
 EXIT_OK = 0
-"""All was done."""
+"""Success."""
 EXIT_FAULTS = 1
 """A file or the command line must be changed; nothing was done."""
 EXIT_REJECTED = 2
 """The configuration was rejected; nothing was done."""
 EXIT_UNKNOWN = 3
-"""It is not known whether the configuration was accepted: ask again with the same id."""
+"""It is unknown whether the configuration was accepted: apply it again with the same id."""
 EXIT_UNREACHABLE = 4
 """A daemon or the platform did not answer, or an address could not be listened on."""
 EXIT_NOT_FOUND = 5
-"""No daemon knows what was asked for."""
+"""There is no configuration in force, or no record of the call."""
 
 
 def print_json(body: Any) -> None:
-    """Print for a program."""
+    """Print a value as indented JSON."""
     sys.stdout.write(msgspec.json.format(msgspec.json.encode(body), indent=2).decode() + "\n")
 
 
 def print_faults(faults: list[Fault], as_json: bool) -> None:
-    """Print every fault: to a person on standard error, to a program on standard output."""
+    """Print all faults: as text to standard error, as JSON to standard output."""
     if as_json:
         print_json({"faults": [report(fault) for fault in faults]})
         return
@@ -41,7 +41,7 @@
 
 
 def print_table(rows: list[dict[str, Any]]) -> None:
-    """Print rows of the same keys as columns."""
+    """Print rows that have the same keys as a table with a header."""
     if not rows:
         return
     names = list(rows[0])
--- a/foldhoist/commands/status.py
+++ b/foldhoist/commands/status.py
@@ -1,4 +1,4 @@
-"""`foldhoist status`: what one daemon sees."""
+"""`foldhoist status`: prints the state of one daemon."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 def status(daemon: str, *, json: bool = False) -> int:
-    """Show a daemon's state, and each upstream as it sees it, with the age of what it knows.
+    """Show a daemon's state and what it knows of each upstream, with the age of that.
 
     :param daemon: Operators address of the daemon, as IP:port.
-    :param json: Print for a program.
+    :param json: Print JSON.
     """
     body = asyncio.run(fetch_json(daemon, "/status"))
     if json:
         print_json(body)
         return EXIT_OK
-    _show(body)
+    _print_status(body)
     return EXIT_OK
 
 
-def _show(body: dict[str, Any]) -> None:
+def _print_status(body: dict[str, Any]) -> None:
     cfg = body["configuration"]
     load = body["load"]
     print(f"daemon {body['name']} {body['version']}, incarnation {body['incarnation']}")
@@ -36,8 +36,8 @@
     )
     for row in body["quotas"]:
         print(
-            f"quota of {row['customer']}, kept here: {row['left']:.0f} of a burst of "
-            f"{row['burst']:.0f} left, {row['rate_per_s']:g} calls a second more"
+            f"quota of {row['customer']}, counted here: {row['left']:.0f} of a burst of "
+            f"{row['burst']:.0f} left, refilled at {row['rate_per_s']:g} calls/s"
         )
     for name, entry in body["latencies_us"].items():
         print(
--- a/foldhoist/commands/version.py
+++ b/foldhoist/commands/version.py
@@ -1,4 +1,4 @@
-"""`foldhoist version`: the version of the program and of its messages."""
+"""`foldhoist version`: prints the versions of the program and of its message schema."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 def version(*, json: bool = False) -> int:
     """Show the version of the program and of its message schema.
 
-    :param json: Print for a program.
+    :param json: Print JSON.
     """
     if json:
         print_json({"version": __version__, "message_schema": SCHEMA_VERSION})
--- a/foldhoist/config/__init__.py
+++ b/foldhoist/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings and fleet configuration: loading, checking, reporting."""
+"""Settings of a daemon and the fleet configuration: parsing, checks and faults."""
--- a/foldhoist/config/faults.py
+++ b/foldhoist/config/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a file: where, what, and how to mend it."""
+"""Faults of a file: the place, the problem and how to correct it."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class Fault(NamedTuple):
-    """One fault; `level` is "error" or "warning", empty fields do not apply."""
+    """A fault in a file; `level` is "error" or "warning", fields that do not apply are empty."""
 
     file: str
     section: str
     option: str
     value: str
     problem: str
-    mend: str
+    hint: str
     level: str = "error"
 
 
@@ -30,7 +30,7 @@
 
 
 def show(fault: Fault) -> str:
-    """Return the fault as one line for a person."""
+    """Return the fault as one line of text."""
     where = fault.file
     if fault.section:
         where += f" [{fault.section}]"
@@ -38,22 +38,22 @@
         where += f" {fault.option}"
     if fault.value:
         where += f" = {fault.value}"
-    return f"{fault.level}: {where}: {fault.problem}; {fault.mend}"
+    return f"{fault.level}: {where}: {fault.problem}; {fault.hint}"
 
 
 def report(fault: Fault) -> FaultReport:
-    """Return the fault for a program."""
+    """Return the fault as `--json` prints it."""
     return {
         "file": fault.file,
         "section": fault.section,
         "option": fault.option,
         "value": fault.value,
         "problem": fault.problem,
-        "mend": fault.mend,
+        "mend": fault.hint,
         "level": fault.level,
     }
 
 
 def errors(faults: list[Fault]) -> list[Fault]:
-    """Return the faults that forbid the use of a file."""
+    """Return the faults that make a file unusable, that is without the warnings."""
     return [fault for fault in faults if fault.level == "error"]
--- a/foldhoist/config/options.py
+++ b/foldhoist/config/options.py
@@ -1,4 +1,4 @@
-"""Turns the text of one INI option into a value of the kind that the schema gives it."""
+"""Parses the text of one INI option as its schema entry requires."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
 from foldhoist.customers.keys import parse_digests
 from foldhoist.routing.routes import parse_split
 
-LONGEST_SHOWN = 80
-"""Characters of a faulty value that a message repeats."""
+MAX_SHOWN_CHARS = 80
+"""Longest part of an invalid value that a message repeats, characters."""
 METHODS = frozenset({"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"})
-"""HTTP methods that a route may name."""
+"""HTTP methods that a route may list."""
 BOOLEANS = {"yes": True, "true": True, "on": True, "no": False, "false": False, "off": False}
-"""Words for a boolean."""
+"""Texts of a boolean option, in lower case."""
 
 
-class Good(NamedTuple):
-    """The value of an option."""
+class Valid(NamedTuple):
+    """The parsed value of an option."""
 
     value: Any
 
 
-class Bad(NamedTuple):
-    """What is wrong with an option, and the mend."""
+class Invalid(NamedTuple):
+    """The problem with the text of an option, and how to correct it."""
 
     problem: str
-    mend: str
+    hint: str
 
 
-Parsed: TypeAlias = Good | Bad
+ParseResult: TypeAlias = Valid | Invalid
 
 
 def load_schema(name: str) -> dict[str, Any]:
-    """Return one of the project's schemas."""
+    """Return the JSON schema of this name from the package `foldhoist.schema`."""
     text = files("foldhoist.schema").joinpath(f"{name}.json").read_bytes()
     schema: dict[str, Any] = msgspec.json.decode(text)
     return schema
 
 
-def parse(text: str, option: dict[str, Any]) -> Parsed:
-    """Return the value of an option's text; `option` is its entry in the schema."""
+def parse_option(text: str, option: dict[str, Any]) -> ParseResult:
+    """Parse the text of an option; `option` is its schema entry."""
     match option:
         case {"enum": choices}:
             return _choice(text, choices)
@@ -67,46 +67,46 @@
             return _digests(text)
         case {"pattern": pattern}:
             return _pattern(text, pattern)
-    return Good(text)
+    return Valid(text)
 
 
-def close_to(name: str, known: list[str]) -> str:
-    """Return a mend for an unknown name: the nearest known one, or all of them."""
-    near = get_close_matches(name, known, n=1)
-    if near:
-        return f"did you mean {near[0]}?"
+def suggest_name(name: str, known: list[str]) -> str:
+    """Return a hint for an unknown name: the closest known name, or all known names."""
+    matches = get_close_matches(name, known, n=1)
+    if matches:
+        return f"did you mean {matches[0]}?"
     return f"known are {', '.join(sorted(known))}"
 
 
-def shown(text: str) -> str:
-    """Return a value short enough for a message."""
-    flat = " ".join(text.split())
-    return flat if len(flat) <= LONGEST_SHOWN else flat[:LONGEST_SHOWN] + "..."
+def shorten(text: str) -> str:
+    """Return a value on one line, cut to MAX_SHOWN_CHARS for a message."""
+    line = " ".join(text.split())
+    return line if len(line) <= MAX_SHOWN_CHARS else line[:MAX_SHOWN_CHARS] + "..."
 
 
-def _choice(text: str, choices: list[str]) -> Parsed:
+def _choice(text: str, choices: list[str]) -> ParseResult:
     if text in choices:
-        return Good(text)
-    return Bad("is none of the values allowed", f"write one of {', '.join(choices)}")
+        return Valid(text)
+    return Invalid("is not an allowed value", f"write one of {', '.join(choices)}")
 
 
-def _boolean(text: str) -> Parsed:
+def _boolean(text: str) -> ParseResult:
     value = BOOLEANS.get(text.lower())
     if value is None:
-        return Bad("is neither yes nor no", "write yes or no")
-    return Good(value)
+        return Invalid("is not a boolean", "write yes or no")
+    return Valid(value)
 
 
-def _number(text: str, option: dict[str, Any], kind: type, what: str) -> Parsed:
+def _number(text: str, option: dict[str, Any], kind: type, noun: str) -> ParseResult:
     try:
         value = kind(text)
     except ValueError:
-        return Bad(f"is not {what}", f"write {what}{_range(option)}")
-    least, most = option.get("minimum"), option.get("maximum")
-    inside = (least is None or value >= least) and (most is None or value <= most)
-    if not inside:
-        return Bad("is out of range", f"write {what}{_range(option)}")
-    return Good(value)
+        return Invalid(f"is not {noun}", f"write {noun}{_range(option)}")
+    minimum, maximum = option.get("minimum"), option.get("maximum")
+    in_range = (minimum is None or value >= minimum) and (maximum is None or value <= maximum)
+    if not in_range:
+        return Invalid("is out of range", f"write {noun}{_range(option)}")
+    return Valid(value)
 
 
 def _range(option: dict[str, Any]) -> str:
@@ -115,9 +115,9 @@
     return ""
 
 
-def _address(text: str, option: dict[str, Any]) -> Parsed:
+def _address(text: str, option: dict[str, Any]) -> ParseResult:
     if not text and option.get("default") == "":
-        return Good(text)
+        return Valid(text)
     host, colon, port = text.rpartition(":")
     try:
         ip_address(host.strip("[]"))
@@ -125,45 +125,47 @@
     except ValueError:
         in_range = False
     if not in_range:
-        return Bad("is not an IP address and a port", "write it as 127.0.0.1:8000")
-    return Good(text)
+        return Invalid("is not an IP address and a port", "write it as 127.0.0.1:8000")
+    return Valid(text)
 
 
-def _addresses(text: str) -> Parsed:
+def _addresses(text: str) -> ParseResult:
     parts = [part.strip() for part in text.split(",") if part.strip()]
     for part in parts:
         match _address(part, {}):
-            case Bad(problem, mend):
-                return Bad(f"holds {part}, which {problem}", mend)
-    return Good(", ".join(parts))
+            case Invalid(problem, hint):
+                return Invalid(f"holds {part}, which {problem}", hint)
+    return Valid(", ".join(parts))
 
 
-def _methods(text: str) -> Parsed:
+def _methods(text: str) -> ParseResult:
     parts = [part.strip().upper() for part in text.split(",") if part.strip()]
     unknown = [part for part in parts if part not in METHODS]
     if unknown or not parts:
-        return Bad("is no list of HTTP methods", f"use {', '.join(sorted(METHODS))}")
-    return Good(", ".join(parts))
+        return Invalid("is not a list of HTTP methods", f"use {', '.join(sorted(METHODS))}")
+    return Valid(", ".join(parts))
 
 
-def _split(text: str) -> Parsed:
+def _split(text: str) -> ParseResult:
     try:
         parse_split(text)
     except ValueError as exc:
-        return Bad(f"is no split: {exc}", "write services with weights, as a:90, b:10")
-    return Good(text)
+        return Invalid(f"is no split: {exc}", "write services with weights, as a:90, b:10")
+    return Valid(text)
 
 
-def _digests(text: str) -> Parsed:
+def _digests(text: str) -> ParseResult:
     try:
-        return Good(", ".join(parse_digests(text)))
+        return Valid(", ".join(parse_digests(text)))
     except ValueError as exc:
-        return Bad(f"holds what is no digest: {exc}", "write what `foldhoist key` prints")
+        return Invalid(f"holds an invalid digest: {exc}", "write what `foldhoist key` prints")
 
 
-def _pattern(text: str, pattern: str) -> Parsed:
+def _pattern(text: str, pattern: str) -> ParseResult:
     if re.search(pattern, text):
-        return Good(text)
+        return Valid(text)
     if pattern == "^/":
-        return Bad("does not begin with /", "begin it with /")
-    return Bad("is no name", "use small letters, digits and hyphens, a letter first")
+        return Invalid("does not begin with /", "write it with a leading /")
+    return Invalid(
+        "is not a valid name", "use lowercase letters, digits and hyphens, a letter first"
+    )
--- a/foldhoist/config/reload.py
+++ b/foldhoist/config/reload.py
@@ -1,10 +1,10 @@
-"""What a running daemon takes over of settings that were read again; no I/O."""
+"""Decides which changed settings a running daemon applies without a restart; does no I/O."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, NamedTuple, cast
 
-from foldhoist.config.changes import differing
+from foldhoist.config.changes import changed_options
 
 if TYPE_CHECKING:
     from collections.abc import Container
@@ -24,11 +24,11 @@
         "drain_ms",
     )
 )
-"""Limits that can change while a daemon runs; connections keep their longest body."""
+"""Limits that a running daemon applies without a restart: all except `body_bytes`."""
 
 
 class ReloadResult(NamedTuple):
-    """The settings from now on, what has changed in them, and what waits for a restart."""
+    """Settings to use from now on, options applied, and options that need a restart."""
 
     cfg: Settings
     applied: list[str]
@@ -36,14 +36,14 @@
 
 
 def merge_reloadable(before: Settings, after: Settings, reloadable: Container[str]) -> ReloadResult:
-    """Take over the options that can change while a daemon runs, written as `[section] option`."""
+    """Merge the changed options that are in `reloadable`; options are named `[section] option`."""
     merged: dict[str, dict[str, Any]] = {}
     applied: list[str] = []
     restart_required: list[str] = []
     old, new = _sections(before), _sections(after)
     for section, options in new.items():
         merged[section] = dict(old[section])
-        for option in differing(old[section], options):
+        for option in changed_options(old[section], options):
             name = f"[{section}] {option}"
             if name not in reloadable:
                 restart_required.append(name)
--- a/foldhoist/config/settings.py
+++ b/foldhoist/config/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one daemon: loads, checks, and reports every fault."""
+"""Loads and checks the settings of one daemon."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 from foldhoist.config.faults import Fault, errors
 from foldhoist.config.ini import read_section, read_sections
-from foldhoist.config.options import close_to, load_schema
+from foldhoist.config.options import load_schema, suggest_name
 
 if TYPE_CHECKING:
     from foldhoist.schema.settings import Settings
 
 
 def load_settings(path: str) -> Result[Settings, list[Fault]]:
-    """Return the settings in a file, or every fault of it."""
+    """Return the settings in a file, or all its faults if one of them is an error."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
@@ -29,7 +29,7 @@
 
 
 def parse_settings(text: str, file: str) -> tuple[Settings, list[Fault]]:
-    """Return settings and faults of a text; with errors the settings are not to be used."""
+    """Return the settings in a text and its faults; with errors they must not be used."""
     schema = load_schema("settings")
     parser, faults = read_sections(text, file)
     if faults:
@@ -37,11 +37,11 @@
     settings: dict[str, Any] = {}
     for section in parser.sections():
         if section not in schema["properties"]:
-            mend = close_to(section, list(schema["properties"]))
-            faults.append(Fault(file, section, "", "", "is no section of settings", mend))
+            hint = suggest_name(section, list(schema["properties"]))
+            faults.append(Fault(file, section, "", "", "is not a section of the settings", hint))
     for section, ref in schema["properties"].items():
         entry = schema["$defs"][ref["$ref"].rpartition("/")[2]]
-        values, found = read_section(parser, section, entry, file)
+        values, section_faults = read_section(parser, section, entry, file)
         settings[section] = values
-        faults += found
+        faults += section_faults
     return cast("Settings", settings), faults
--- a/foldhoist/exceptions.py
+++ b/foldhoist/exceptions.py
@@ -1,10 +1,10 @@
-"""Exceptions that end a command, each with the text an operator reads."""
+"""Exceptions of the package; their texts are written for operators."""
 
 from __future__ import annotations
 
 
 class FoldhoistError(Exception):
-    """Base of all errors that a command reports without a traceback."""
+    """Base of the errors that a command reports without a traceback."""
 
 
 class UsageError(FoldhoistError):
@@ -16,4 +16,4 @@
 
 
 class ProtocolError(FoldhoistError):
-    """A peer sent bytes that are no message of this schema version."""
+    """A peer sent bytes that are not a valid message of this schema version."""
--- a/tests/integration/test_commands.py
+++ b/tests/integration/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line as an operator uses it: exit codes, texts, JSON."""
+"""Tests of the command line: exit codes, text and JSON output."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
     return fleet.addresses["depo-1"]["operators"]
 
 
-def test_status_for_a_person_and_for_a_program(fleet: LocalFleet) -> None:
+def test_status_as_text_and_as_json(fleet: LocalFleet) -> None:
     assert "generation 1" in fleet.command("status", operators(fleet)).stdout
-    told = json.loads(fleet.command("status", operators(fleet), "--json").stdout)
-    assert told["name"] == "depo-1"
+    printed = json.loads(fleet.command("status", operators(fleet), "--json").stdout)
+    assert printed["name"] == "depo-1"
 
 
-def test_config_gives_back_what_was_applied(fleet: LocalFleet) -> None:
-    told = json.loads(fleet.command("config", operators(fleet), "--json").stdout)
-    assert told["content"] == fleet.configuration()
+def test_config_prints_the_applied_text(fleet: LocalFleet) -> None:
+    printed = json.loads(fleet.command("config", operators(fleet), "--json").stdout)
+    assert printed["content"] == fleet.configuration()
 
 
 def test_a_faulty_file_lists_every_fault_and_applies_nothing(fleet: LocalFleet) -> None:
@@ -46,14 +46,14 @@
     assert fleet.status("depo-1")["configuration"]["generation"] == 1
 
 
-def test_a_target_that_vanishes_is_refused_with_the_mend(fleet: LocalFleet) -> None:
+def test_removing_a_target_that_is_not_retired_is_refused_with_a_hint(fleet: LocalFleet) -> None:
     text = fleet.configuration()
     done = fleet.apply(text[: text.index("[target depo-3]")])
     assert done.returncode == 1
     assert "apply `state = retired`, then remove the section" in done.stderr
 
 
-def test_a_data_centre_is_evacuated_and_taken_back() -> None:
+def test_a_data_centre_is_evacuated_and_used_again() -> None:
     with make_fleet() as fleet:
         fleet.start()
         name = str(fleet.status("depo-1")["upstreams"][0]["data_centre"])
@@ -69,13 +69,13 @@
         assert "evacuated" not in fleet.command("config", daemon).stdout
 
 
-def test_a_file_of_an_older_generation_does_not_undo_a_colleagues_change() -> None:
+def test_a_file_based_on_an_older_generation_does_not_undo_a_later_change() -> None:
     with make_fleet() as fleet:
         fleet.start()
         first = fleet.configuration().replace("slots = 12", "slots = 11", 1)
         second = fleet.configuration().replace("slots = 12", "slots = 10", 1)
-        told = fleet.command("config", operators(fleet)).stdout
-        assert "--base 1" in told
+        printed = fleet.command("config", operators(fleet)).stdout
+        assert "--base 1" in printed
         assert fleet.apply(first, "--base", "1").returncode == 0
         done = fleet.apply(second, "--base", "1")
         assert done.returncode == 2
@@ -83,24 +83,24 @@
         assert "was edited from generation 1" in done.stdout
         fleet.wait_generation(2)
         assert fleet.status("depo-1")["configuration"]["generation"] == 2
-        blind = fleet.apply(second)
-        assert blind.returncode == 0
-        assert "changes against generation 2:" in blind.stderr
-        assert "[target depo-1] slots: 11, now 10" in blind.stderr
+        without_base = fleet.apply(second)
+        assert without_base.returncode == 0
+        assert "changes against generation 2:" in without_base.stderr
+        assert "[target depo-1] slots: 11, now 10" in without_base.stderr
 
 
-def test_no_daemon_at_an_address(fleet: LocalFleet) -> None:
+def test_an_address_without_a_daemon(fleet: LocalFleet) -> None:
     done = fleet.command("status", "127.0.0.1:1")
     assert done.returncode == 4
     assert "give the operators address of one" in done.stderr
 
 
-def test_explaining_what_nobody_knows(fleet: LocalFleet) -> None:
+def test_explaining_an_unknown_or_malformed_trace(fleet: LocalFleet) -> None:
     assert fleet.command("explain", "f" * 32, "--daemon", operators(fleet)).returncode == 5
     assert fleet.command("explain", "short", "--daemon", operators(fleet)).returncode == 1
 
 
-def test_metrics_are_in_the_usual_text_format(fleet: LocalFleet) -> None:
+def test_metrics_are_in_the_prometheus_text_format(fleet: LocalFleet) -> None:
     import urllib.request
 
     with urllib.request.urlopen(f"http://{operators(fleet)}/metrics", timeout=10) as answer:
@@ -109,7 +109,7 @@
     assert 'foldhoist_call_seconds{quantile="0.99"}' in text
 
 
-def test_a_daemon_with_faulty_settings_says_so_and_ends(fleet: LocalFleet) -> None:
+def test_a_daemon_with_faulty_settings_reports_them_and_exits(fleet: LocalFleet) -> None:
     path = fleet.folder / "faulty.ini"
     path.write_text("[daemon]\nname = depo-1\n")
     done = fleet.command("daemon", str(path))
--- a/tests/unit/allowance.py
+++ b/tests/unit/allowance.py
@@ -1,4 +1,4 @@
-"""The further arrivals that the users allow a service in any window, as they count them."""
+"""The limit on repeated arrivals at a service within any window of time."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 
 class Allowance(NamedTuple):
-    """A share of the requests, and some beside it; the window is in seconds."""
+    """Allows `ratio` times the requests, plus `slack`, within a window of `window_s` seconds."""
 
     ratio: float = 0.2
     slack: float = 58.0
     window_s: float = 10.0
 
-    def most_over(self, further: list[float], asked: list[float]) -> float:
-        """Return by how many the further arrivals of the worst window exceed what is allowed.
+    def most_over(self, repeated: list[float], requested: list[float]) -> float:
+        """Return the largest excess of repeated arrivals over the limit in any window.
 
-        Both lists hold moments in order, seconds. The requests are those of that window, of the one
-        before it, or of the one half a window before it, whichever holds most. The result is
-        -`slack` at least.
+        Both lists hold sorted times in seconds. The limit counts the requests of the same window,
+        of the one that starts half a window earlier or of the one that starts a whole window
+        earlier, whichever has the most. The result is at least -`slack`.
         """
         worst = -self.slack
-        for begin in further:
+        for begin in repeated:
             starts = (begin, begin - self.window_s / 2, begin - self.window_s)
-            requests = max(self._between(asked, start) for start in starts)
-            arrivals = self._between(further, begin)
+            requests = max(self._between(requested, start) for start in starts)
+            arrivals = self._between(repeated, begin)
             worst = max(worst, arrivals - self.ratio * requests - self.slack)
         return worst
 
-    def _between(self, moments: list[float], begin: float) -> int:
-        return bisect_left(moments, begin + self.window_s) - bisect_left(moments, begin)
+    def _between(self, times: list[float], begin: float) -> int:
+        return bisect_left(times, begin + self.window_s) - bisect_left(times, begin)
--- a/tests/unit/commands/test_fetch.py
+++ b/tests/unit/commands/test_fetch.py
@@ -1,4 +1,4 @@
-"""Asking a daemon that is slow to answer, and one that is not there."""
+"""Tests of requests to a daemon's operators address: timeouts and errors."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{"a": 1}'
 
 
-def test_a_daemon_that_took_the_connection_is_waited_for_longer_than_one_that_did_not(
+def test_the_timeout_for_the_answer_is_longer_than_the_one_for_the_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    asked: list[HTTPRequest] = []
+    requests: list[HTTPRequest] = []
 
     class Client:
         def fetch(self, request: HTTPRequest) -> Any:
-            asked.append(request)
+            requests.append(request)
             return AsyncHTTPClient().fetch(request)
 
     monkeypatch.setattr(fetch, "AsyncHTTPClient", Client)
@@ -39,13 +39,13 @@
         server.close()
 
     asyncio.run(run())
-    (req,) = asked
-    assert req.connect_timeout == fetch.CONNECT_S
-    assert req.request_timeout == fetch.ANSWER_S
-    assert fetch.ANSWER_S >= 10 * fetch.CONNECT_S
+    (req,) = requests
+    assert req.connect_timeout == fetch.CONNECT_TIMEOUT_S
+    assert req.request_timeout == fetch.ANSWER_TIMEOUT_S
+    assert fetch.ANSWER_TIMEOUT_S >= 10 * fetch.CONNECT_TIMEOUT_S
 
 
-def test_a_daemon_that_is_not_there_is_named() -> None:
+def test_an_unreachable_daemon_is_named() -> None:
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         address = "{}:{}".format(*sock.getsockname())
--- a/tests/unit/config/test_changes.py
+++ b/tests/unit/config/test_changes.py
@@ -1,4 +1,4 @@
-"""What an operator is told of the difference between two configurations."""
+"""Tests of the list of differences between two fleet configurations."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from foldhoist.config.changes import changes
 
 
-def fleet(**parts: Any) -> Any:
-    """Return a configuration with only the given parts."""
-    plain = {"fleet": {"name": "f"}, "services": {}, "routes": {}, "customers": {}, "targets": {}}
-    return cast("Any", {**plain, **parts})
+def fleet(**sections: Any) -> Any:
+    """Return a configuration that has only the given sections."""
+    empty = {"fleet": {"name": "f"}, "services": {}, "routes": {}, "customers": {}, "targets": {}}
+    return cast("Any", {**empty, **sections})
 
 
-def test_alike_configurations_have_no_changes() -> None:
+def test_equal_configurations_have_no_changes() -> None:
     assert changes(fleet(), fleet()) == []
 
 
-def test_sections_that_come_go_and_change_are_told_by_name() -> None:
+def test_added_removed_and_changed_sections_are_listed_by_name() -> None:
     old = fleet(services={"a": {"queue": 1}}, routes={"r": {"service": "a"}})
     new = fleet(services={"a": {"queue": 2}, "b": {"queue": 1}}, fleet={"name": "g"})
     assert changes(old, new) == [
--- a/tests/unit/config/test_fleet.py
+++ b/tests/unit/config/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of the fleet configuration: every fault is named, with its mend."""
+"""Tests of the fleet configuration: each fault is reported with its place and a hint."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     return [show(fault) for fault in parse_fleet(text, "f.ini")[1]]
 
 
-def test_a_good_one_has_defaults_filled_in() -> None:
+def test_defaults_are_filled_in() -> None:
     fleet, faults = parse_fleet(GOOD, "f.ini")
     assert faults == []
     assert fleet["targets"]["s-1"]["connections"] == 200
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "expected"),
     [
         ("slots = 4", "slots = 0", "[target s-1] slots = 0: is out of range"),
         ("slots = 4", "slot = 4", "did you mean slots?"),
@@ -53,8 +53,8 @@
         ("[service s]", "[service s]\nprefix = /t/\n[service s]", "is there twice"),
     ],
 )
-def test_a_fault_names_section_option_value_and_mend(old: str, new: str, told: str) -> None:
-    assert any(told in line for line in faults_of(GOOD.replace(old, new))), told
+def test_a_fault_names_section_option_value_and_hint(old: str, new: str, expected: str) -> None:
+    assert any(expected in line for line in faults_of(GOOD.replace(old, new))), expected
 
 
 def test_every_fault_is_listed_at_once() -> None:
@@ -62,13 +62,13 @@
     assert len(faults_of(text)) == 2
 
 
-def test_a_cache_gives_what_reading_anew_gives() -> None:
+def test_a_cache_does_not_change_the_result() -> None:
     cache = SectionCache()
     for text in (GOOD, GOOD.replace("slots = 4", "slots = 9"), GOOD.replace("slots", "slot"), GOOD):
         assert parse_fleet(text, "x", cache) == parse_fleet(text, "x")
 
 
-def test_a_target_goes_only_after_it_was_retired() -> None:
+def test_a_target_is_removed_only_after_it_was_retired() -> None:
     old, _ = parse_fleet(GOOD, "old")
     new, _ = parse_fleet(GOOD.replace("s-1", "s-2"), "new")
     assert "was not retired" in check_change(old, new, "new")[0].problem
@@ -77,7 +77,7 @@
     assert check_change(retired, old, "new")[0].problem == "was retired and cannot come back"
 
 
-def test_a_service_without_targets_is_a_warning_only() -> None:
+def test_a_service_without_targets_is_only_a_warning() -> None:
     text = GOOD + "\n[service lonely]\nprefix = /l/\n"
     faults = parse_fleet(text, "x")[1]
     assert len(faults) == 1
@@ -85,15 +85,15 @@
 
 
 @pytest.mark.parametrize(
-    ("split", "told"),
+    ("split", "expected"),
     [
         ("s:90, t:10", "[route r] split = t: is no service"),
         ("s", "[route r] split = s: is no split"),
     ],
 )
-def test_a_split_names_known_services_with_weights(split: str, told: str) -> None:
+def test_a_split_lists_known_services_with_weights(split: str, expected: str) -> None:
     route = f"\n[route r]\nservice = s\nprefix = /s/x/\nsplit = {split}\n"
-    assert any(told in line for line in faults_of(GOOD + route))
+    assert any(expected in line for line in faults_of(GOOD + route))
     assert faults_of(GOOD + "\n[route r]\nservice = s\nprefix = /s/x/\nsplit = s:1\n") == []
 
 
@@ -102,7 +102,7 @@
     return f"\n[customer {name}]\nkeys = {digests}\n{more}"
 
 
-def test_a_key_of_two_customers_names_both() -> None:
+def test_a_key_shared_by_two_customers_is_reported_without_the_key() -> None:
     (line,) = faults_of(GOOD + customer("huka", "k-1", "k-2") + customer("wona", "k-2"))
     assert "[customer wona] keys" in line
     assert "is a key of customer huka, too" in line
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "told"),
+    ("more", "expected"),
     [
         ("rate_per_s = -1", "[customer huka] rate_per_s = -1: is out of range"),
         ("rate_per_s = many", "is not a number"),
@@ -125,12 +125,12 @@
         ("rates = 1", "is no option of this section"),
     ],
 )
-def test_a_quota_that_cannot_be_is_named(more: str, told: str) -> None:
+def test_an_invalid_quota_option_is_reported(more: str, expected: str) -> None:
     lines = faults_of(GOOD + customer("huka", "k-1", more=more))
-    assert any(told in line for line in lines), lines
+    assert any(expected in line for line in lines), lines
 
 
-def test_a_key_itself_is_no_digest() -> None:
+def test_a_key_in_place_of_its_digest_is_reported() -> None:
     lines = faults_of(GOOD + "\n[customer huka]\nkeys = ftimaj3nr26tta828m82\n")
     assert any("write what `foldhoist key` prints" in line for line in lines)
     assert all("ftimaj3nr26tta828m82" not in line.partition("holds")[2] for line in lines)
--- a/tests/unit/config/test_settings.py
+++ b/tests/unit/config/test_settings.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "expected"),
     [
         ("name = kasa-1", "nmae = kasa-1", "did you mean name?"),
         ("probes_per_s = 2.0", "probes_per_s = lots", "is not a number"),
@@ -28,10 +28,10 @@
         ("log = 127.0.0.1:19000", "", "[platform] log: is missing; add `log = ...`"),
     ],
 )
-def test_a_fault_names_where_and_how_to_mend(old: str, new: str, told: str) -> None:
-    shown = [show(fault) for fault in parse_settings(GOOD.replace(old, new, 1), "x")[1]]
-    assert any(told in line for line in shown), shown
+def test_a_fault_names_its_place_and_a_hint(old: str, new: str, expected: str) -> None:
+    lines = [show(fault) for fault in parse_settings(GOOD.replace(old, new, 1), "x")[1]]
+    assert any(expected in line for line in lines), lines
 
 
-def test_a_file_that_is_not_there_is_a_fault() -> None:
+def test_a_missing_file_is_a_fault() -> None:
     assert load_settings("no-such-file.ini").error[0].problem.startswith("cannot be read")
--- a/tests/unit/test_boundaries.py
+++ b/tests/unit/test_boundaries.py
@@ -1,4 +1,4 @@
-"""The house's borders: the platform's names, the core's purity, the size of files."""
+"""Tests of the layering: platform names, imports of the core packages, and file sizes."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     r"|cold_remaining|max_header_bytes|header_timeout|start_rev|x-tenant|tenant|auth_exempt",
     re.IGNORECASE,
 )
-"""Headers, paths, topics and fields of the users' platform."""
+"""Headers, paths, topics and fields of the platform, which only the adapter may use."""
 FORBIDDEN_IN_CORE = {"asyncio", "socket", "time", "tornado", "pynng", "loguru", "os", "selectors"}
-MOST_ADAPTER_LINES = 800
+MAX_ADAPTER_LINES = 800
 FOLDERS = ("foldhoist", "platform", "standins", "bench", "soak", "tools", "tests")
-MOST_LINES = 400
-"""Longest file, lines."""
+MAX_LINES = 400
+"""Most lines of a file."""
 
 
 def sources(*folders: str) -> list[Path]:
@@ -30,20 +30,20 @@
 
 
 @pytest.mark.parametrize("path", sources("foldhoist", "standins", "bench", "examples"), ids=str)
-def test_only_the_adapter_knows_the_platforms_names(path: Path) -> None:
+def test_only_the_adapter_uses_names_of_the_platform(path: Path) -> None:
     assert PLATFORM_NAMES.findall(path.read_text()) == []
 
 
 def test_the_adapter_is_small() -> None:
     lines = sum(len(path.read_text().splitlines()) for path in sources("platform"))
-    assert lines < MOST_ADAPTER_LINES
+    assert lines < MAX_ADAPTER_LINES
     assert not (ROOT / "platform" / "__init__.py").exists()
 
 
 @pytest.mark.parametrize(
     "path", sources(*(f"foldhoist/{package}" for package in CORE)), ids=lambda path: path.name
 )
-def test_the_core_has_no_clock_no_sockets_and_no_global_randomness(path: Path) -> None:
+def test_the_core_uses_no_clock_no_sockets_and_no_global_randomness(path: Path) -> None:
     tree = ast.parse(path.read_text())
     for node in ast.walk(tree):
         match node:
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("path", sources(*FOLDERS), ids=str)
-def test_no_file_is_long(path: Path) -> None:
+def test_no_file_exceeds_the_line_limit(path: Path) -> None:
     if path.parent.name == "schema":
         return
-    assert len(path.read_text().splitlines()) <= MOST_LINES
+    assert len(path.read_text().splitlines()) <= MAX_LINES
