--- a/foldhoist/logservice/__init__.py
+++ b/foldhoist/logservice/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the log service and the host list that fleets without an adapter run on."""
+"""Client of the log service and of the host list, for fleets without an adapter."""
--- a/foldhoist/logservice/client.py
+++ b/foldhoist/logservice/client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's append-only log and of its host list, over HTTP."""
+"""HTTP client of the platform's append-only log and of its host list."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from foldhoist.configlog.fold import LogRecord, PublishRecord, SnapshotRecord
 from foldhoist.schema.messages import Publish, Snapshot
 
-REQUEST_S = 5.0
-"""Longest wait for an answer of the platform, seconds."""
-PAGE = 200
-"""Records asked for at once."""
+REQUEST_TIMEOUT_S = 5.0
+"""Timeout of a request, and of its connection, seconds."""
+PAGE_SIZE = 200
+"""Most records in one read."""
 
 
 class PlatformError(NamedTuple):
-    """The platform did not do what was asked; `sent` tells whether it may have been done."""
+    """A request to the platform failed; `sent` says whether it may have taken effect."""
 
     what: str
     sent: bool
 
 
 class StoredRecord(TypedDict):
-    """A record as the log gives it; data is base64 in JSON."""
+    """A record of the log; `data` is base64 in JSON."""
 
     offset: int
     data: bytes
 
 
 class Page(TypedDict):
-    """Records from an offset on, the oldest offset kept and the next to be written."""
+    """Records from an offset on, with the oldest offset retained and the next to be written."""
 
     oldest: int
     next: int
@@ -53,17 +53,17 @@
 
 
 def pack_publish(body: Publish) -> bytes:
-    """Return the bytes of a proposal as a record."""
+    """Encode a proposal as a record."""
     return b"publish " + msgspec.json.encode(body)
 
 
 def pack_snapshot(body: Snapshot) -> bytes:
-    """Return the bytes of a kept state as a record."""
+    """Encode a snapshot as a record."""
     return b"keep " + msgspec.json.encode(body)
 
 
 def unpack(stored: StoredRecord) -> LogRecord | None:
-    """Return the record, or None if its bytes are none of ours: it folds to nothing."""
+    """Decode a record; returns None if its kind is unknown or its content invalid."""
     kind, _, fields = stored["data"].partition(b" ")
     try:
         match kind:
@@ -85,7 +85,7 @@
         self._http = AsyncHTTPClient(force_instance=True)
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         self._http.close()
 
     async def append(self, data: bytes) -> Result[int, PlatformError]:
@@ -97,8 +97,8 @@
         return Error(answer.error)
 
     async def read(self, offset: int) -> Result[Page, PlatformError]:
-        """Read up to PAGE records from an offset on."""
-        answer = await self._fetch(HTTPRequest(f"{self.url}?from={offset}&limit={PAGE}"))
+        """Read up to `PAGE_SIZE` records from an offset on."""
+        answer = await self._fetch(HTTPRequest(f"{self.url}?from={offset}&limit={PAGE_SIZE}"))
         match answer:
             case Result(tag="ok", ok=body):
                 return _decode_page(body)
@@ -112,12 +112,14 @@
                 try:
                     return Ok(_HOSTS.decode(body)["state"])
                 except msgspec.DecodeError as exc:
-                    return Error(PlatformError(f"the host list answered no host: {exc}", False))
+                    return Error(
+                        PlatformError(f"the host list returned an invalid host: {exc}", False)
+                    )
         return Error(answer.error)
 
     async def _fetch(self, req: HTTPRequest) -> Result[bytes, PlatformError]:
-        req.connect_timeout = REQUEST_S
-        req.request_timeout = REQUEST_S
+        req.connect_timeout = REQUEST_TIMEOUT_S
+        req.request_timeout = REQUEST_TIMEOUT_S
         try:
             response = await self._http.fetch(req)
         except HTTPClientError as exc:
@@ -133,4 +135,4 @@
     try:
         return Ok(_PAGES.decode(body))
     except msgspec.DecodeError as exc:
-        return Error(PlatformError(f"the log answered no page: {exc}", False))
+        return Error(PlatformError(f"the log returned an invalid page: {exc}", False))
--- a/foldhoist/logservice/state.py
+++ b/foldhoist/logservice/state.py
@@ -1,4 +1,4 @@
-"""Reads the whole log of a stream and folds it."""
+"""Reads all records that a log retains and folds them into a state."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 class RetainedRecords(NamedTuple):
-    """All records of ours that a log keeps, its oldest offset and the next to be written."""
+    """The valid records that a log retains, its oldest offset and the next to be written."""
 
     records: list[LogRecord]
     oldest: int
     end: int
 
     def state(self) -> State:
-        """Return what the records add up to."""
+        """Return the state after folding the records."""
         state = fold_all(self.records, self.oldest)
         return state._replace(folded=max(state.folded, self.end))
 
 
 async def read_retained(client: PlatformClient) -> Result[RetainedRecords, PlatformError]:
-    """Return everything that the log keeps."""
+    """Return all valid records that the log retains."""
     records: list[LogRecord] = []
     offset, oldest = 0, -1
     while True:
@@ -46,7 +46,7 @@
 
 
 async def read_state(client: PlatformClient) -> Result[State, PlatformError]:
-    """Return what the records that the log keeps add up to."""
+    """Return the state after folding all records that the log retains."""
     answer = await read_retained(client)
     if answer.is_error():
         return Error(answer.error)
--- a/foldhoist/observe/__init__.py
+++ b/foldhoist/observe/__init__.py
@@ -1,1 +1,1 @@
-"""Counters, histograms, spans and decision records."""
+"""Logs, metrics, spans and decision records."""
--- a/foldhoist/observe/counters.py
+++ b/foldhoist/observe/counters.py
@@ -1,4 +1,4 @@
-"""Counters as dictionaries."""
+"""Converts counters to dictionaries."""
 
 from __future__ import annotations
 
@@ -10,5 +10,5 @@
 
 
 def counters_of(counters: DataclassInstance) -> dict[str, int]:
-    """Return the counters of one of the Counters classes."""
+    """Return the counters in an instance of one of the `Counters` classes, by name."""
     return asdict(counters)
--- a/foldhoist/observe/events.py
+++ b/foldhoist/observe/events.py
@@ -1,8 +1,8 @@
-"""Log lines of calls: one for each decision that touched a call, bounded in number.
+"""Logs calls, attempts and changes of state as events, limited in rate.
 
-Calls that were answered in time at the first try are sampled; all others are told as long as the
-bound allows. Each kind of line has a bound of its own; the next line after a gap says how many were
-left out.
+Calls answered on time by their first attempt are sampled; all others are logged as far as the rate
+limit allows. Each event has a limit of its own, and its next line after a gap gives the number of
+lines left out.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
     from foldhoist.routing.policies import Scored
 
 LINES_PER_S = 20.0
-"""Lines of one kind a second, in the long run."""
+"""Sustained rate of one event, lines per second."""
 LINES_BURST = 200.0
-"""Lines of one kind that may be written at once."""
-FAILED = 500
-"""Statuses from this on are failures of an upstream."""
+"""Most lines of one event in a burst."""
+MIN_FAILURE_STATUS = 500
+"""Lowest status that counts as a failure of the upstream."""
 
 
 class EventLog:
-    """Turns records into lines; `write(event, fields)` takes them, `share` of ordinary calls."""
+    """Logs records through `write(event, fields)`; `share` is the part of ordinary calls logged."""
 
     def __init__(
         self, write: Callable[[str, dict[str, Any]], None], share: float, rng: Random
@@ -38,10 +38,10 @@
         self.share = share
         self._rng = rng
         self._buckets: dict[str, TokenBucket] = {}
-        self._left_out: dict[str, int] = {}
+        self._omitted: dict[str, int] = {}
 
     def log_call(self, now: float, record: Record) -> None:
-        """Tell of a call that has ended: each attempt, then its final answer."""
+        """Log a finished call: an event for each attempt, then one for the final answer."""
         if _is_ordinary(record) and self._rng.random() >= self.share:
             return
         for attempt in record.attempts:
@@ -49,7 +49,7 @@
         self._write_bounded(now, "call", _call_fields(record))
 
     def log_hop(self, now: float, hop: Ended) -> None:
-        """Tell of a call that the upstream has ended."""
+        """Log a call that ended at this owner."""
         ordinary = hop.result.startswith(("answered 2", "answered 3", "answered 4"))
         if ordinary and self._rng.random() >= self.share:
             return
@@ -66,13 +66,13 @@
         self._write_bounded(now, "hop", fields)
 
     def log_refused(self, now: float, refused: Refused) -> None:
-        """Tell of a call that the owner sent back without running it."""
+        """Log a call that the owner refused without running it."""
         fields = refused._asdict()
         fields["trace"] = trace_id(refused.trace)
         self._write_bounded(now, "refused", fields)
 
     def log_change(self, now: float, event: str, fields: dict[str, Any]) -> None:
-        """Tell of a change of what this process believes."""
+        """Log a change in the state of this daemon."""
         self._write_bounded(now, event, fields)
 
     def _write_bounded(self, now: float, event: str, fields: dict[str, Any]) -> None:
@@ -80,16 +80,16 @@
         if bucket is None:
             bucket = self._buckets[event] = TokenBucket(LINES_PER_S, LINES_BURST, now)
         if not bucket.take(now):
-            self._left_out[event] = self._left_out.get(event, 0) + 1
+            self._omitted[event] = self._omitted.get(event, 0) + 1
             return
-        left_out = self._left_out.pop(event, 0)
-        if left_out:
-            fields["left_out"] = left_out
+        omitted = self._omitted.pop(event, 0)
+        if omitted:
+            fields["left_out"] = omitted
         self._write(event, fields)
 
 
 def _is_ordinary(record: Record) -> bool:
-    answered = record.verdict == "answered" and record.status < FAILED
+    answered = record.verdict == "answered" and record.status < MIN_FAILURE_STATUS
     return answered and len(record.attempts) == 1 and not record.late
 
 
--- a/foldhoist/observe/exporting.py
+++ b/foldhoist/observe/exporting.py
@@ -1,4 +1,4 @@
-"""Whether spans are exported; the libraries for that are loaded only if they are."""
+"""Creates the span exporter; its libraries are imported only if spans are exported."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def make_span_exporter(cfg: Settings) -> SpanExporter | None:
-    """Return what exports spans, None if the settings name no address for them."""
+    """Return a span exporter, or None if the settings give no address to export to."""
     daemon, observe = cfg["daemon"], cfg["observe"]
     if not observe["otlp"]:
         return None
--- a/foldhoist/observe/logs.py
+++ b/foldhoist/observe/logs.py
@@ -1,7 +1,6 @@
-"""Log lines: changes of state, decisions on calls, and now and then counters.
+"""Writes log lines to standard error, as text or JSON.
 
-Lines go to standard error. Nothing waits for its reader: what a full pipe does not take at once is
-left out and counted.
+Writing never blocks: a line that a full pipe does not accept at once is dropped and counted.
 """
 
 from __future__ import annotations
@@ -22,36 +21,36 @@
 
 TEXT = "{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level} {extra[daemon]} {message}"
 """Format of a text line."""
-LONGEST = 4096
-"""Longest line, bytes: what a pipe that can be written to takes at once."""
+MAX_LINE_BYTES = 4096
+"""Longest line with its newline: a pipe that polls as writable accepts this much at once."""
 
 
 class LineWriter:
-    """Writes whole lines to a descriptor, or leaves them out; never waits."""
+    """Writes complete lines to a file descriptor, or drops them; never blocks."""
 
     def __init__(self, descriptor: int) -> None:
-        self.left_out = 0
+        self.dropped = 0
         self._descriptor = descriptor
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
 
     def write(self, line: str) -> None:
-        """Write a line if the descriptor takes it at once."""
+        """Write a line, cut to `MAX_LINE_BYTES`, if the descriptor accepts it at once."""
         data = line.encode("utf-8", "replace")
-        if len(data) >= LONGEST:
-            data = data[: LONGEST - 1]
+        if len(data) >= MAX_LINE_BYTES:
+            data = data[: MAX_LINE_BYTES - 1]
         ready = self._poll.poll(0)
         if not ready or not ready[0][1] & select.POLLOUT:
-            self.left_out += 1
+            self.dropped += 1
             return
         try:
             os.write(self._descriptor, data + b"\n")
         except OSError:
-            self.left_out += 1
+            self.dropped += 1
 
 
 def set_up_logs(cfg: Observe, name: str) -> LineWriter:
-    """Send log lines to standard error, as the settings say; returns what writes them."""
+    """Send log lines to standard error in the format of the settings; returns the writer."""
     writer = LineWriter(sys.stderr.fileno())
     logger.remove()
     logger.configure(extra={"daemon": name})
@@ -68,15 +67,15 @@
 
 
 def write_event(event: str, fields: dict[str, Any]) -> None:
-    """Write a line of an event; its fields stand beside the message in JSON, in it as text."""
+    """Log an event; its fields are keys of the line in JSON and part of the message in text."""
     logger.bind(event=event, **fields).info("{} {}", event, fields)
 
 
 def log_reread(found: Reread) -> None:
-    """Tell what was taken over of settings that were read again, and what was not."""
+    """Log which changed settings were applied, and which need a restart."""
     logger.info("settings read again, changed: {}", ", ".join(found.taken) or "nothing")
     for name in found.left:
-        logger.warning("{} has changed: restart the daemon for it", name)
+        logger.warning("{} has changed; restart the daemon to apply it", name)
 
 
 def _json_line(message: Message) -> str:
--- a/foldhoist/observe/metrics.py
+++ b/foldhoist/observe/metrics.py
@@ -1,4 +1,4 @@
-"""All counters and histograms in the text format of the usual metrics systems."""
+"""Exports counters, gauges and latencies in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Metrics:
-    """Reads counters and gauges at the moment they are asked for; counting costs nothing more."""
+    """Collector that reads the daemon's counters and gauges each time metrics are requested."""
 
     def __init__(
         self,
@@ -30,11 +30,11 @@
         self._registry.register(self)
 
     def text(self) -> bytes:
-        """Return everything in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def collect(self) -> Iterable[Any]:
-        """Give every family; called by the registry."""
+        """Yield all metric families; called by the registry."""
         for part, counters in self._counters().items():
             for name, value in counters.items():
                 family = CounterMetricFamily(f"foldhoist_{part}_{name}", f"{part}: {name}")
--- a/foldhoist/observe/records.py
+++ b/foldhoist/observe/records.py
@@ -1,4 +1,4 @@
-"""Decision records: a bounded ring, found by trace, and followed as they come."""
+"""Buffers decision records, to be searched by trace or read in order."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Hop(NamedTuple):
-    """What an owner did with one attempt; `at` is its end in wall clock seconds."""
+    """The record of an attempt at its owner; `at` is its end, wall clock seconds."""
 
     owner: str
     at: float
@@ -19,12 +19,12 @@
 
 
 def trace_id(traceparent: str) -> str:
-    """Return the trace of a traceparent."""
+    """Return the trace ID of a traceparent."""
     return traceparent[3:35]
 
 
 class RecordBuffer:
-    """The latest records of calls and of hops, each at most `size`."""
+    """The latest records: at most `size` calls, and hops of at most `size` traces."""
 
     def __init__(self, size: int) -> None:
         self._size = size
@@ -33,7 +33,7 @@
         self.number = 0
 
     def add_call(self, record: Record) -> None:
-        """Keep the record of a call that ended."""
+        """Add the record of a finished call."""
         self.number += 1
         trace = trace_id(record.trace)
         self._calls[f"{trace} {self.number}"] = record
@@ -41,7 +41,7 @@
             self._calls.popitem(last=False)
 
     def add_hop(self, hop: Hop) -> None:
-        """Keep the record of an attempt at this owner."""
+        """Add the record of an attempt at this owner; a trace has at most 64."""
         trace = trace_id(hop.call.trace)
         hops = self._hops.get(trace)
         if hops is None:
@@ -56,19 +56,19 @@
         return [record for name, record in self._calls.items() if name.startswith(trace)]
 
     def hops_of(self, trace: str) -> list[Hop]:
-        """Return the records of attempts with this trace."""
+        """Return the records of attempts with this trace, oldest first."""
         return self._hops.get(trace, [])
 
     def since(self, number: int) -> tuple[int, list[Record]]:
-        """Return the newest number, and the records after `number` that are still kept."""
-        fresh = min(self.number - number, len(self._calls))
-        if fresh <= 0:
+        """Return the latest call's number, and the buffered records of calls after `number`."""
+        count = min(self.number - number, len(self._calls))
+        if count <= 0:
             return self.number, []
-        return self.number, list(self._calls.values())[-fresh:]
+        return self.number, list(self._calls.values())[-count:]
 
 
 def record_report(record: Record) -> dict[str, Any]:
-    """Return a call's record for a program; times are microseconds from arrival."""
+    """Return a call's record as JSON fields; times are microseconds from arrival."""
     return {
         "trace": trace_id(record.trace),
         "service": record.service,
--- a/foldhoist/observe/spans.py
+++ b/foldhoist/observe/spans.py
@@ -1,4 +1,4 @@
-"""Spans for OpenTelemetry, made from decision records after the fact, so that calls pay nothing."""
+"""Exports OpenTelemetry spans, made from the decision records of finished calls."""
 
 from __future__ import annotations
 
@@ -18,17 +18,16 @@
     from foldhoist.delivery.call import Record
     from foldhoist.observe.records import Hop
 
-NANO = 1_000_000_000
-"""Nanoseconds in a second."""
+NANOSECONDS_PER_SECOND = 1_000_000_000
 
 
 def span_id(traceparent: str) -> int:
-    """Return the span of a traceparent."""
+    """Return the span ID of a traceparent."""
     return int(traceparent[36:52], 16)
 
 
 def attempt_span_id(traceparent: str, seq: int) -> int:
-    """Return the span of an attempt: ingress and owner find the same without telling."""
+    """Return the span ID of an attempt, which ingress and owner derive independently."""
     digest = blake2b(f"{traceparent}:{seq}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") or 1
 
@@ -39,7 +38,7 @@
 
 
 class SpanExporter:
-    """Turns records into spans and exports them; without an address nothing is done."""
+    """Turns records into spans and exports them; does nothing without an address."""
 
     def __init__(self, name: str, data_centre: str, address: str, share: float) -> None:
         self.share = share
@@ -52,16 +51,17 @@
             self._processor = BatchSpanProcessor(OTLPSpanExporter(endpoint=address))
 
     def close(self) -> None:
-        """Export what is waiting and stop."""
+        """Export pending spans and stop."""
         if self._processor is not None:
             self._processor.shutdown()  # type: ignore[no-untyped-call]
 
     def export_call(self, record: Record, wall: float, now: float) -> None:
-        """Export the spans of a call and of its attempts, if it is kept.
+        """Export the spans of a call and of its attempts.
 
-        `wall` and `now` are wall clock and monotonic seconds of the same moment.
+        Ordinary calls are sampled by trace ID. `wall` and `now` are the wall clock and the
+        monotonic clock at the same moment, seconds.
         """
-        if self._processor is None or not self._is_kept(record):
+        if self._processor is None or not self._is_exported(record):
             return
         offset = wall - now
         parent = span_id(record.trace)
@@ -74,23 +74,23 @@
             self._emit("attempt", record.trace, span, parent, *times, fields)
 
     def export_hop(self, hop: Hop) -> None:
-        """Export the spans of an owner's queue and of its upstream."""
-        if self._processor is None or not self._draws(hop.call.trace):
+        """Export the spans of an attempt's time in the queue and at the upstream, if sampled."""
+        if self._processor is None or not self._is_sampled(hop.call.trace):
             return
         call = hop.call
         parent = attempt_span_id(call.trace, call.seq)
         start = hop.at - (call.waited_us + call.served_us) / 1e6
-        taken = start + call.waited_us / 1e6
+        dispatched = start + call.waited_us / 1e6
         fields = {"owner": hop.owner, "result": call.result}
-        for name, begin, end in (("queue", start, taken), ("upstream", taken, hop.at)):
+        for name, begin, end in (("queue", start, dispatched), ("upstream", dispatched, hop.at)):
             span = random.getrandbits(64) or 1
             self._emit(name, call.trace, span, parent, begin, end, 0.0, fields)
 
-    def _is_kept(self, record: Record) -> bool:
+    def _is_exported(self, record: Record) -> bool:
         ordinary = record.verdict == "answered" and len(record.attempts) == 1
-        return not ordinary or record.status >= 500 or self._draws(record.trace)
+        return not ordinary or record.status >= 500 or self._is_sampled(record.trace)
 
-    def _draws(self, traceparent: str) -> bool:
+    def _is_sampled(self, traceparent: str) -> bool:
         return int(traceparent[27:35], 16) < self.share * 0x100000000
 
     def _emit(
@@ -106,14 +106,14 @@
     ) -> None:
         assert self._processor is not None
         self.exported += 1
-        made = ReadableSpan(
+        readable = ReadableSpan(
             name=name,
             context=_context(traceparent, span),
             parent=_context(traceparent, parent) if parent is not None else None,
             resource=self._resource,
             attributes=fields,
             kind=SpanKind.INTERNAL,
-            start_time=int((begin + offset) * NANO),
-            end_time=int((end + offset) * NANO),
+            start_time=int((begin + offset) * NANOSECONDS_PER_SECOND),
+            end_time=int((end + offset) * NANOSECONDS_PER_SECOND),
         )
-        self._processor.on_end(made)
+        self._processor.on_end(readable)
--- a/tests/unit/observe/test_events.py
+++ b/tests/unit/observe/test_events.py
@@ -1,4 +1,4 @@
-"""Log lines of calls: what is told, how it is bounded, and that nothing waits for a reader."""
+"""Tests of the event log: sampling, limits, and writing to a full pipe without blocking."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     )
 
 
-def told(share: float, records: list[Record]) -> list[tuple[str, dict[str, Any]]]:
-    """Return the lines that tell of these calls, all at one moment."""
+def logged(share: float, records: list[Record]) -> list[tuple[str, dict[str, Any]]]:
+    """Return the events logged for these calls, all at the same time."""
     lines: list[tuple[str, dict[str, Any]]] = []
     events = EventLog(lambda event, fields: lines.append((event, fields)), share, random.Random(1))
     for each in records:
@@ -29,21 +29,21 @@
     return lines
 
 
-def test_a_refused_call_is_told_with_every_attempt_and_its_id() -> None:
-    lines = told(0.0, [record(attempts=2)])
+def test_refused_call_is_logged_with_every_attempt_and_its_id() -> None:
+    lines = logged(0.0, [record(attempts=2)])
     assert [event for event, _ in lines] == ["attempt", "attempt", "call"]
     assert {fields["request"] for _, fields in lines} == {"id"}
     assert lines[-1][1]["verdict"] == "not-run"
 
 
 def test_ordinary_calls_are_sampled() -> None:
-    assert told(0.0, [record("answered")]) == []
-    assert len(told(1.0, [record("answered")])) == 2
-    assert len(told(0.0, [record("answered")._replace(late=True)])) == 2
-    assert len(told(0.0, [record("answered", attempts=2)])) == 3
+    assert logged(0.0, [record("answered")]) == []
+    assert len(logged(1.0, [record("answered")])) == 2
+    assert len(logged(0.0, [record("answered")._replace(late=True)])) == 2
+    assert len(logged(0.0, [record("answered", attempts=2)])) == 3
 
 
-def test_a_bound_holds_for_each_kind_and_what_is_left_out_is_counted() -> None:
+def test_each_event_is_limited_and_omitted_lines_are_counted() -> None:
     lines: list[tuple[str, dict[str, Any]]] = []
     events = EventLog(lambda event, fields: lines.append((event, fields)), 0.0, random.Random(1))
     for _ in range(int(LINES_BURST) + 30):
@@ -53,12 +53,12 @@
     assert lines[-1][1]["left_out"] == 30
 
 
-def test_a_full_pipe_is_not_waited_for() -> None:
+def test_full_pipe_does_not_block() -> None:
     reader, writer = os.pipe()
     lines = LineWriter(writer)
     for _ in range(100):
         lines.write("x" * 5000)
-    assert lines.left_out > 0
+    assert lines.dropped > 0
     first = os.read(reader, 4096)
     assert first.endswith(b"\n")
     assert len(first) == 4096
--- a/tests/unit/observe/test_metrics.py
+++ b/tests/unit/observe/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of histograms."""
+"""Tests of latency histograms."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from foldhoist.observe.latencies import Latencies
 
 
-def test_percentiles_are_within_the_digits() -> None:
+def test_percentiles_are_within_the_precision() -> None:
     latencies = Latencies()
     for value in range(1, 10_001):
         latencies.record("call", value)
--- a/tests/unit/observe/test_spans.py
+++ b/tests/unit/observe/test_spans.py
@@ -1,4 +1,4 @@
-"""Tests of spans: a hop each, in one trace, with the right parents; ordinary calls by share."""
+"""Tests of spans and of the record buffer."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     return Record(TRACE, "s", "GET", "/", False, True, "", 1, 0.9, 1.6, verdict, "", 200, tries)
 
 
-class Kept:
-    """Stands in for the exporter."""
+class SpanCollector:
+    """Collects spans in place of the exporter."""
 
     def __init__(self) -> None:
         self.spans: list[ReadableSpan] = []
@@ -31,23 +31,23 @@
         self.spans.append(span)
 
 
-def make(share: float) -> tuple[SpanExporter, Kept]:
-    spans, kept = SpanExporter("a", "dc", "", share), Kept()
-    spans._processor = kept  # type: ignore[assignment]
-    return spans, kept
+def make(share: float) -> tuple[SpanExporter, SpanCollector]:
+    spans, collector = SpanExporter("a", "dc", "", share), SpanCollector()
+    spans._processor = collector  # type: ignore[assignment]
+    return spans, collector
 
 
 def parent_of(span: Any) -> int:
     return int(span.parent.span_id)
 
 
-def test_a_call_has_a_span_for_each_hop_in_one_trace() -> None:
-    spans, kept = make(1.0)
+def test_spans_of_a_call_share_a_trace_and_have_the_right_parents() -> None:
+    spans, collector = make(1.0)
     spans.export_call(record(), wall=100.0, now=2.0)
     spans.export_hop(Hop("depo-1", 99.5, Ended(TRACE, 7, 100, 400, "answered 200", 1, 0)))
-    by_name = {span.name: span for span in kept.spans}
+    by_name = {span.name: span for span in collector.spans}
     assert set(by_name) == {"call", "attempt", "queue", "upstream"}
-    assert {span.context.trace_id for span in kept.spans if span.context} == {
+    assert {span.context.trace_id for span in collector.spans if span.context} == {
         int(trace_id(TRACE), 16)
     }
     assert parent_of(by_name["attempt"]) == int("2" * 16, 16)
@@ -56,16 +56,16 @@
     assert by_name["call"].start_time == int(98.9 * 1e9)
 
 
-def test_ordinary_calls_are_kept_by_share_and_others_always() -> None:
-    spans, kept = make(0.0)
+def test_ordinary_calls_are_sampled_and_others_always_exported() -> None:
+    spans, collector = make(0.0)
     spans.export_call(record(), 100.0, 2.0)
-    assert kept.spans == []
+    assert collector.spans == []
     spans.export_call(record("not-run"), 100.0, 2.0)
     spans.export_call(record(attempts=2), 100.0, 2.0)
-    assert len(kept.spans) == 5
+    assert len(collector.spans) == 5
 
 
-def test_the_ring_keeps_the_latest() -> None:
+def test_record_buffer_keeps_the_latest() -> None:
     buffer = RecordBuffer(3)
     for number in range(5):
         buffer.add_call(record()._replace(path=f"/{number}"))
