--- a/tests/adapter/test_headers.py
+++ b/tests/adapter/test_headers.py
@@ -96,7 +96,7 @@
     assert found.trace[3:35] == "0a1b".rjust(32, "0")
 
 
-def test_final_answer_does_not_invite_a_retry_of_a_call_that_may_have_run() -> None:
+def test_status_and_retry_after_of_final_answers() -> None:
     status, headers, _ = DIALECT.answer(NotRun("full", 0.25), "")
     assert (status, dict(headers)) == (503, {b"Retry-After": b"0.250"})
     assert DIALECT.answer(NotRun("deadline-passed", 0.0, status=504), "")[0] == 503
