--- a/foldhoist/observe/logs.py
+++ b/foldhoist/observe/logs.py
@@ -19,7 +19,7 @@
     from foldhoist.config.reload import ReloadResult
     from foldhoist.schema.settings import Observe
 
-TEXT = "{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level} {extra[daemon]} {message}"
+TEXT_FORMAT = "{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level} {extra[daemon]} {message}"
 """Format of a text line."""
 MAX_LINE_BYTES = 4096
 """Longest line with its newline: a pipe that polls as writable accepts this much at once."""
@@ -60,7 +60,7 @@
     logger.add(
         lambda message: writer.write(str(message).rstrip("\n")),
         level=cfg["log_level"],
-        format=TEXT,
+        format=TEXT_FORMAT,
         colorize=False,
     )
     return writer
