--- a/bench/stages.py
+++ b/bench/stages.py
@@ -134,7 +134,7 @@
         self.link.connection_made(self.to_owner)
         self.owner = Owner("depo-1", "depo", QueueLimits(12, 24, 1, 8), 600.0)
         self.owner_task = OwnerTask(self.owner, cfg, hello, lambda k, b: None, self.hop)
-        self.task.connect("in", cast("Any", FakeLinks(self.link)), self.owner_task)
+        self.task.attach("in", cast("Any", FakeLinks(self.link)), self.owner_task)
         ingress.adopt(0.0, 1, fleet, tracked(fleet, "in", "a"), homes(fleet))
         for name in fleet["targets"]:
             self.task.link_up(name, "o")
--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -53,7 +53,7 @@
 MAX_EAGER_LINKS = 64
 """Up to this number of tracked upstreams, connections are opened before the first call."""
 INITIAL_QUEUE_LIMITS = QueueLimits(slots=1, queue=0, urgent_slots=0, urgent_run=1)
-"""Queue limits of the owner before the first configuration names it."""
+"""Queue limits of the owner before a configuration lists its target."""
 DRAIN_CHECK_S = 0.02
 """Interval at which calls in flight are checked while draining, seconds."""
 LAST_REQUEST_S = 1.0
@@ -117,7 +117,7 @@
             self.ingress_task.message,
         )
         self.links = Links(self._hello, limit, events, self.rng)
-        self.ingress_task.connect(self.name, self.links, self.owner_task)
+        self.ingress_task.attach(self.name, self.links, self.owner_task)
         self.quotas = QuotaTask(
             self.name,
             platform["quota_slack"],
@@ -159,8 +159,8 @@
         limit = loop.time() + self.cfg["limits"]["drain_ms"] / 1000
         await self._wait_until(lambda: not self.owner.calls, limit)
         self._servers[0].close()
-        quiet = min(limit, loop.time() + LAST_REQUEST_S)
-        await self._wait_until(lambda: not self.callers.open, quiet)
+        last_request_until = min(limit, loop.time() + LAST_REQUEST_S)
+        await self._wait_until(lambda: not self.callers.open, last_request_until)
         await self._wait_until(lambda: all(conn.idle for conn in self.callers.open), limit)
         for conn in list(self.callers.open):
             conn.close()
@@ -222,28 +222,30 @@
         self.callers = ServerState(
             cfg["limits"], self.ingress_task.arrive, self.ingress_task.caller_disconnected
         )
-        host, port = _split(cfg["listen"]["callers"])
+        host, port = _split_address(cfg["listen"]["callers"])
         callers = await loop.create_server(
             lambda: CallerConnection(self.callers), host, port, backlog=1024
         )
-        host, port = _split(cfg["listen"]["frames"])
+        host, port = _split_address(cfg["listen"]["frames"])
         frames = await loop.create_server(self.owner_task.connection, host, port, backlog=1024)
         self._servers = [callers, frames]
         for name, server in (("callers", callers), ("frames", frames)):
             self.addresses[name] = "{}:{}".format(*server.sockets[0].getsockname()[:2])
 
     def _on_adopt(self, state: State, fleet: Fleet) -> None:
-        mine = fleet["targets"].get(self.name)
-        if mine is not None:
+        own_target = fleet["targets"].get(self.name)
+        if own_target is not None:
             self._adopt_as_owner(state, fleet)
         centre = self.cfg["daemon"]["data_centre"]
-        chosen = tracked(fleet, self.name, centre)
-        self.links.adopt({name: target["frames"] for name, target in fleet["targets"].items()})
-        self.ingress_task.adopt(state.generation, fleet, chosen, homes(fleet))
+        tracked_upstreams = tracked(fleet, self.name, centre)
+        self.links.set_addresses(
+            {name: target["frames"] for name, target in fleet["targets"].items()}
+        )
+        self.ingress_task.adopt(state.generation, fleet, tracked_upstreams, homes(fleet))
         self._targets = frozenset(fleet["targets"])
         self.quotas.adopt()
-        names = {member.name for members in chosen.values() for member in members}
-        if self.name in names or mine is not None:
+        names = {member.name for members in tracked_upstreams.values() for member in members}
+        if self.name in names or own_target is not None:
             self.ingress_task.local_up(self.incarnation)
         if len(names) <= MAX_EAGER_LINKS:
             self.links.connect(sorted(names - {self.name}))
@@ -321,6 +323,6 @@
         gc.set_threshold(20_000, 20, 50)
 
 
-def _split(address: str) -> tuple[str, int]:
+def _split_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
--- a/foldhoist/daemon/frames.py
+++ b/foldhoist/daemon/frames.py
@@ -16,8 +16,9 @@
 PEER_TIMEOUT_MS = 1500
 """A connection is closed if the peer's host acknowledges nothing for this long, milliseconds."""
 MAX_UNSENT_BYTES = 16 * 1024 * 1024
-"""Limit of the send buffer, and of the pieces still to be sent, bytes; beyond it, the connection
-is closed.
+"""Limit of the send buffer and of the pieces still to be sent, bytes.
+
+The connection is closed if either exceeds it.
 """
 PIECE_RETRY_S = 0.005
 """Interval at which a full connection is checked for room for the next piece, seconds."""
--- a/foldhoist/daemon/ingress_task.py
+++ b/foldhoist/daemon/ingress_task.py
@@ -44,7 +44,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._loop = asyncio.get_running_loop()
 
-    def connect(self, name: str, links: Links, owner_task: OwnerTask) -> None:
+    def attach(self, name: str, links: Links, owner_task: OwnerTask) -> None:
         """Set the owner of this process, and the links to other owners."""
         self._name = name
         self._links = links
--- a/foldhoist/daemon/links.py
+++ b/foldhoist/daemon/links.py
@@ -114,7 +114,9 @@
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S) as self._timeout:
                 _, conn = await loop.create_connection(
-                    lambda: FrameConnection(self._limit, self._message, self._lost), host, int(port)
+                    lambda: FrameConnection(self._limit, self._on_message, self._on_lost),
+                    host,
+                    int(port),
                 )
                 self._conn = conn
                 self._epoch += 1
@@ -130,7 +132,7 @@
             self._timeout = None
         return self.up
 
-    def _message(self, conn: FrameConnection, kind: str, body: Any) -> None:
+    def _on_message(self, conn: FrameConnection, kind: str, body: Any) -> None:
         if conn is not self._conn:
             return
         if kind == "Hello":
@@ -148,7 +150,7 @@
         self._hello_event.set()
         self._events.on_up(self.name, hello["incarnation"])
 
-    def _lost(self, conn: FrameConnection) -> None:
+    def _on_lost(self, conn: FrameConnection) -> None:
         if conn is not self._conn:
             return
         self._conn = None
@@ -175,7 +177,7 @@
         self._links: dict[str, Link] = {}
         self._addresses: dict[str, str] = {}
 
-    def adopt(self, addresses: dict[str, str]) -> None:
+    def set_addresses(self, addresses: dict[str, str]) -> None:
         """Set the addresses of all owners; links to other addresses are closed."""
         self._addresses = addresses
         for name, link in list(self._links.items()):
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -53,7 +53,7 @@
     from foldhoist.schema.settings import Settings
 
 INITIAL_QUEUE_LIMITS = QueueLimits(slots=1, queue=0, urgent_slots=0, urgent_run=8)
-"""Queue limits of the owner before its upstream has announced itself."""
+"""Queue limits of the owner before the first announcement of its upstream."""
 RELOADABLE = LIMITS | {
     "[upstream] service",
     "[platform] retry_slack",
@@ -65,7 +65,7 @@
 
 
 class MeshDaemon:
-    """All tasks and sockets of one daemon process."""
+    """All tasks and sockets of one daemon process on a platform with an adapter."""
 
     def __init__(
         self, cfg: Settings, rng: random.Random | None = None, began: float | None = None
@@ -98,14 +98,14 @@
         self.store = self.adapter.store()
         self.registry = Registry(self.name, self.data_centre)
         self.upstream = UpstreamTask(
-            self.owner_task, self._on_upstream, cfg["upstream"]["service"], self._is_service
+            self.owner_task, self._on_upstream_changed, cfg["upstream"]["service"], self._is_service
         )
         self.peers = PeersTask(
             self.registry,
             self.links,
             self.store,
             self.describe,
-            self._on_peers,
+            self._on_peers_changed,
             self._on_links_updated,
             self.upstream.store_answered,
             self.ingress_task.ingress.is_busy,
@@ -247,7 +247,7 @@
         self.owner_task.on_refused = self._record_refusal
         self.owner_task.on_suspects = self.messages.share_suspects
         self.owner_task.on_quarantined = self.messages.store_quarantined
-        self.ingress_task.connect(self.name, self.links, self.owner_task)
+        self.ingress_task.attach(self.name, self.links, self.owner_task)
         self.quotas = QuotaTask(
             self.name,
             platform["quota_slack"],
@@ -266,13 +266,13 @@
             cfg["limits"], task.arrive, task.caller_disconnected, self.adapter.dialect
         )
         self._servers: list[asyncio.Server] = []
-        makers = {
+        factories = {
             "callers": lambda: CallerConnection(self.callers),
             "frames": self.owner_task.connection,
         }
-        for name, make in makers.items():
+        for name, factory in factories.items():
             host, _, port = str(cfg["listen"][name]).rpartition(":")  # type: ignore[literal-required]
-            server = await loop.create_server(make, host, int(port), backlog=1024)
+            server = await loop.create_server(factory, host, int(port), backlog=1024)
             self._servers.append(server)
             self.addresses[name] = "{}:{}".format(*server.sockets[0].getsockname()[:2])
 
@@ -329,7 +329,7 @@
         self._unknown_evacuated = names - centres
         self.owner_task.set_evacuated(self.data_centre in names)
 
-    def _on_upstream(self, replaced: bool) -> None:
+    def _on_upstream_changed(self, replaced: bool) -> None:
         """Handle a change of this daemon's upstream."""
         now = asyncio.get_running_loop().time()
         if self.versions.fleet is not None:
@@ -339,7 +339,7 @@
         self._update_tracked()
         self._report_change()
 
-    def _on_peers(self, changed: list[str]) -> None:
+    def _on_peers_changed(self, changed: list[str]) -> None:
         now = asyncio.get_running_loop().time()
         for name in changed:
             self.ingress_task.ingress.upstream_replaced(now, name)
--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -89,7 +89,7 @@
             (host, int(port)),
             cfg["upstream"]["connect_ms"] / 1000,
             cfg["limits"]["body_bytes"],
-            self._result,
+            self._on_result,
             lambda: self.set_state("leaving"),
             dialect,
         )
@@ -98,7 +98,7 @@
             SamplePlan(cfg["measuring"]["sample_cost"]),
             (host, int(port)),
             self.pool.dialect,
-            self._sampled,
+            self._on_sample,
         )
         self.sampler.path = cfg["upstream"]["health_path"]
         self._task: asyncio.Task[None] | None = None
@@ -122,7 +122,7 @@
 
     def connection(self) -> FrameConnection:
         """Return the protocol object for a new connection."""
-        conn = FrameConnection(self._limit, self._message, self._lost)
+        conn = FrameConnection(self._limit, self._on_message, self._on_lost)
         conn.number = self._next_link
         self._next_link += 1
         self._conns[conn.number] = conn
@@ -238,7 +238,7 @@
             reporters = ", ".join(self.owner.status.leaving_sources) or "upstream"
             logger.info("upstream is {} (reported by {}), was {}", after, reporters, before)
 
-    def _message(self, conn: FrameConnection, kind: str, body: Any) -> None:
+    def _on_message(self, conn: FrameConnection, kind: str, body: Any) -> None:
         if kind == "Hello":
             self._on_hello(conn, body)
             return
@@ -271,13 +271,13 @@
             case _ if self._on_peer is not None:
                 self._on_peer(link, kind, body)
 
-    def _lost(self, conn: FrameConnection) -> None:
+    def _on_lost(self, conn: FrameConnection) -> None:
         self._conns.pop(conn.number, None)
         self._accepted_links.discard(conn.number)
         self._goaway_unacked.discard(conn.number)
         self.owner.link_lost(self._loop.time(), conn.number)
 
-    def _result(self, ticket: int, result: Result) -> None:
+    def _on_result(self, ticket: int, result: Result) -> None:
         match result:
             case Incomplete(True, reason) if reason == CONNECTION_LOST:
                 self._lost_calls.add(ticket, result)
@@ -307,7 +307,7 @@
         if hop is not None:
             self._on_hop(hop)
 
-    def _sampled(self, sample: Sample) -> None:
+    def _on_sample(self, sample: Sample) -> None:
         self.owner.status.pace_sampled = self.sampler.pace_sampled
         self._carry_out(self.owner.sampled(self._loop.time(), sample))
 
--- a/foldhoist/daemon/peer_messages.py
+++ b/foldhoist/daemon/peer_messages.py
@@ -1,4 +1,4 @@
-"""Dispatches the messages between daemons on a platform, other than calls, to the tasks."""
+"""Dispatches the messages of other daemons on a platform to the tasks that handle them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PeerMessages:
-    """Passes the messages of peers to the tasks that handle them, and sends the replies."""
+    """Passes each message of a peer to the task that handles it, and sends the replies."""
 
     def __init__(self, daemon: MeshDaemon) -> None:
         self._daemon = daemon
--- a/foldhoist/daemon/peers_task.py
+++ b/foldhoist/daemon/peers_task.py
@@ -43,7 +43,7 @@
 Limits the number of messages when all hosts of a data centre start at once.
 """
 ROSTER_REQUESTS = 2
-"""Peers that are asked for their full roster after a start; one may be just as new."""
+"""Peers that are asked for their full roster after a start; a single one may be just as new."""
 
 
 class PeersTask:
@@ -241,8 +241,9 @@
             self.record_reported(name)
 
     async def _join(self, first: bool) -> None:
-        """Write this daemon's record, then read all: of two that start at once, one sees the other.
+        """Write this daemon's record before the last read of all records.
 
+        So of two daemons that start at once, at least one sees the other.
         The record of an earlier incarnation is read before it is replaced. If it is still valid it
         stays, which saves two calls to the store; daemons that started since report themselves.
         """
--- a/tests/unit/daemon/test_links.py
+++ b/tests/unit/daemon/test_links.py
@@ -62,7 +62,7 @@
             lambda name, kind, body: None,
         )
         links = Links({**HELLO, "name": "a"}, 1 << 20, events, random.Random(1))
-        links.adopt({"b": await peer.start()})
+        links.set_addresses({"b": await peer.start()})
         links.connect(["b"])
         await until(lambda: peer.connections == 1)
         if known_running:
