--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -15,18 +15,18 @@
 from foldhoist.admission.cold import ColdRate
 from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import evacuated
-from foldhoist.config.reread import LIMITS, reread
+from foldhoist.config.reload import RELOADABLE_LIMITS, merge_reloadable
 from foldhoist.daemon.callers import CallerConnection, ServerState
 from foldhoist.daemon.configuration import ConfigurationTask
 from foldhoist.daemon.control import Control
-from foldhoist.daemon.figures import traffic_counters, traffic_gauges
 from foldhoist.daemon.handover import HandoverTask
 from foldhoist.daemon.ingress_task import IngressTask
 from foldhoist.daemon.links import LinkEvents, Links
-from foldhoist.daemon.operators import Operators
+from foldhoist.daemon.operators import OperatorServer
 from foldhoist.daemon.owner_task import OwnerTask
 from foldhoist.daemon.prober import Prober
 from foldhoist.daemon.quota_task import QuotaTask
+from foldhoist.daemon.traffic_metrics import traffic_counters, traffic_gauges
 from foldhoist.delivery.codec import FRAME_OVERHEAD_BYTES, SCHEMA_VERSION
 from foldhoist.delivery.ingress import Ingress
 from foldhoist.delivery.keys import KEY_WINDOW_S
@@ -35,7 +35,7 @@
 from foldhoist.membership.view import homes, tracked
 from foldhoist.observe.counters import counters_of
 from foldhoist.observe.latencies import Latencies
-from foldhoist.observe.logs import log_reread
+from foldhoist.observe.logs import log_reload
 from foldhoist.observe.metrics import Metrics
 from foldhoist.observe.records import Hop, RecordBuffer
 from foldhoist.observe.spans import SpanExporter
@@ -135,7 +135,7 @@
         )
         self.handover = HandoverTask(self.owner, self.control)
         self.prober = Prober(cfg, self.client, self.owner_task.set_state, self._on_host_state)
-        self.operators = Operators(self)
+        self.operators = OperatorServer(self)
         self.addresses["operators"] = self.operators.address
         for task in (self.configuration, self.handover, self.prober, self.owner_task):
             task.start()
@@ -170,8 +170,8 @@
 
     def reload(self, cfg: Settings) -> None:
         """Apply changed limits; other settings need a restart."""
-        found = reread(self.cfg, cfg, LIMITS)
-        log_reread(found)
+        found = merge_reloadable(self.cfg, cfg, RELOADABLE_LIMITS)
+        log_reload(found)
         self.cfg = found.cfg
         limits = found.cfg["limits"]
         self.callers.set_limits(limits)
@@ -275,7 +275,7 @@
 
     def _on_peer(self, link: int, kind: str, body: Any) -> None:
         if kind == "CreditAsk":
-            self.quotas.asked(link, body)
+            self.quotas.on_ask(link, body)
 
     def _on_control(self, kind: str, body: Any) -> None:
         match kind:
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -15,10 +15,10 @@
 from foldhoist.admission.due import DueQueue
 from foldhoist.admission.slots import QueueLimits
 from foldhoist.config.fleet import evacuated, limits_of
-from foldhoist.config.reread import LIMITS, reread
+from foldhoist.config.reload import RELOADABLE_LIMITS, merge_reloadable
 from foldhoist.configlog.versions import ReaderElection
 from foldhoist.daemon.callers import CallerConnection, ServerState
-from foldhoist.daemon.figures import traffic_counters, traffic_gauges
+from foldhoist.daemon.graceful_shutdown import GracefulShutdown
 from foldhoist.daemon.ingress_task import IngressTask
 from foldhoist.daemon.links import LinkEvents, Links
 from foldhoist.daemon.owner_task import OwnerTask
@@ -26,7 +26,7 @@
 from foldhoist.daemon.peers_task import PeersTask
 from foldhoist.daemon.ports import load_adapter
 from foldhoist.daemon.quota_task import QuotaTask
-from foldhoist.daemon.stopping import Stopping
+from foldhoist.daemon.traffic_metrics import traffic_counters, traffic_gauges
 from foldhoist.daemon.upstream_task import UpstreamTask
 from foldhoist.daemon.versions_task import VersionsTask
 from foldhoist.delivery.codec import FRAME_OVERHEAD_BYTES, SCHEMA_VERSION
@@ -39,7 +39,7 @@
 from foldhoist.observe.events import EventLog
 from foldhoist.observe.exporting import make_span_exporter
 from foldhoist.observe.latencies import Latencies
-from foldhoist.observe.logs import log_reread, write_event
+from foldhoist.observe.logs import log_reload, write_event
 from foldhoist.observe.records import RecordBuffer
 from foldhoist.quarantine.table import Quarantine
 
@@ -54,7 +54,7 @@
 
 INITIAL_QUEUE_LIMITS = QueueLimits(slots=1, queue=0, urgent_slots=0, urgent_run=8)
 """Queue limits of the owner before the first announcement of its upstream."""
-RELOADABLE = LIMITS | {
+RELOADABLE = RELOADABLE_LIMITS | {
     "[upstream] service",
     "[platform] retry_slack",
     "[platform] retry_window_s",
@@ -123,7 +123,7 @@
             self.rng,
         )
         await self._listen()
-        self.stopping = Stopping(self)
+        self.shutdown = GracefulShutdown(self)
         self.endpoints = self.adapter.listen(self.upstream, self._is_ready, self.metrics)
         self.addresses.update(self.endpoints.addresses)
         self.upstream.start(self.peers, first=cfg["platform"]["first_start"])
@@ -139,12 +139,12 @@
 
     async def drain(self) -> None:
         """Shut down gracefully."""
-        await self.stopping.run()
+        await self.shutdown.run()
 
     def reload(self, cfg: Settings) -> None:
         """Apply changed settings, apart from those that need a restart."""
-        found = reread(self.cfg, cfg, RELOADABLE)
-        log_reread(found)
+        found = merge_reloadable(self.cfg, cfg, RELOADABLE)
+        log_reload(found)
         self.cfg = found.cfg
         limits, platform = found.cfg["limits"], found.cfg["platform"]
         self.adapter.reload(found.cfg)
@@ -153,7 +153,7 @@
         self._bodies.limit = limits["held_bytes"]
         self._slack.attempts = platform["retry_slack"]
         self._slack.window_s = platform["retry_window_s"]
-        self.quotas.keeper.slack = platform["quota_slack"]
+        self.quotas.server.slack = platform["quota_slack"]
         self._update_tracked()
         if self.versions.fleet is not None:
             self.callers.set_limits(limits_of(limits, self.versions.fleet))
@@ -281,7 +281,7 @@
         self._servers[0].close()
 
     def _is_ready(self) -> bool:
-        return self.versions.fleet is not None and not self.stopping.begun
+        return self.versions.fleet is not None and not self.shutdown.started
 
     def _is_service(self, name: str) -> bool:
         """Return whether the configuration has a service; True if there is no configuration yet."""
