--- a/foldhoist/daemon/callers.py
+++ b/foldhoist/daemon/callers.py
@@ -1,7 +1,7 @@
-"""HTTP for callers: one protocol object a connection, one request at a time.
+"""The HTTP server for callers: one protocol object per connection, one request at a time.
 
-The head parser is httptools and not tornado's server, since the users' ceiling on added latency
-leaves no room for the latter; docs/design/transport.md has the figures.
+Requests are parsed by httptools and not by tornado's server to keep the added latency low; see
+docs/design/transport.md.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
     from foldhoist.delivery.call import CallerRequest
     from foldhoist.schema.settings import Limits
 
-LOOK_S = 0.1
-"""Time between two looks at connections that take too long, seconds."""
-MOST_PIPELINED = 8
-"""Requests that a caller may send before its first answer; reading pauses above it."""
-BEHIND_BYTES = 16 * 1024
-"""A caller that leaves more than this unread counts as behind, bytes."""
+CHECK_INTERVAL_S = 0.1
+"""Interval between two checks for overdue connections, seconds."""
+MAX_PIPELINED = 8
+"""Complete requests that may wait on a connection; reading pauses above it."""
+WRITE_BUFFER_HIGH_BYTES = 16 * 1024
+"""Write buffer size above which a caller counts as a slow reader, bytes."""
 
 
 @dataclass(slots=True)
 class Counters:
-    """What the caller side has counted."""
+    """Counters of the connections of callers."""
 
     bad: int = 0
     bodies_full: int = 0
@@ -49,66 +49,66 @@
 
 
 class ServerState:
-    """What all caller connections of a daemon share."""
+    """The limits, callbacks and open connections that all caller connections of a daemon share."""
 
     def __init__(
         self,
         limits: Limits,
         on_request: Callable[[CallerConnection, CallerRequest], None],
-        on_gone: Callable[[int], None],
+        on_disconnect: Callable[[int], None],
         dialect: Dialect | None = None,
     ) -> None:
         self.dialect = dialect or DefaultDialect()
         self.on_request = on_request
-        self.on_gone = on_gone
+        self.on_disconnect = on_disconnect
         self.count = Counters()
         self.limits = limits
         self.bodies = BodyMemory(limits["held_bytes"])
         self.open: set[CallerConnection] = set()
-        self.behind: set[CallerConnection] = set()
+        self.slow_readers: set[CallerConnection] = set()
         self.closing = False
 
     def set_limits(self, limits: Limits) -> None:
-        """Take over limits; what is held already stays."""
+        """Apply new limits; bodies that are already held stay."""
         self.limits = limits
         self.bodies.limit = limits["held_bytes"]
 
     async def close_overdue(self) -> None:
-        """Close connections that take too long; one look for all is cheaper than timers."""
+        """Close overdue connections; one periodic check costs less than a timer for each."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             now = time.monotonic()
-            for conn in [conn for conn in self.open if conn.due <= now]:
-                conn.late()
-            self.cut_off_unread()
+            for conn in [conn for conn in self.open if conn.expires_at <= now]:
+                conn.on_timeout()
+            self.abort_slow_readers()
 
-    def cut_off_unread(self) -> None:
-        """Cut off the callers that leave most unread, if all together leave too much."""
-        unread = {conn: conn.unread for conn in self.behind}
+    def abort_slow_readers(self) -> None:
+        """Abort the slow readers with the most unread bytes while their total exceeds the limit."""
+        unread = {conn: conn.unread_bytes for conn in self.slow_readers}
         total = sum(unread.values())
         for conn in sorted(unread, key=unread.__getitem__, reverse=True):
             if total <= self.limits["held_bytes"]:
                 return
             total -= unread[conn]
             self.count.unread += 1
-            conn.cut_off()
+            conn.abort()
 
 
 class _Unanswered(NamedTuple):
-    """A whole request without an answer, the one in hand first."""
+    """A complete request that has no answer yet."""
 
     keep_alive: bool
     body_bytes: int
 
 
 class CallerConnection(asyncio.Protocol):
-    """A caller's connection: parses requests, writes answers, enforces the limits."""
+    """A caller's connection: parses requests, writes answers and enforces the limits."""
 
     def __init__(self, state: ServerState) -> None:
         self._state = state
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self.due = float("inf")
+        self.expires_at = float("inf")
         self._waiting: deque[CallerRequest | BadRequest] = deque()
         self._unanswered: deque[_Unanswered] = deque()
         self._call_id: int | None = None
@@ -122,10 +122,10 @@
     # asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Admit the connection, or refuse it if there are too many."""
+        """Accept the connection, or refuse it if there are too many."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.set_write_buffer_limits(high=BEHIND_BYTES)
+        transport.set_write_buffer_limits(high=WRITE_BUFFER_HIGH_BYTES)
         state = self._state
         state.count.connections += 1
         state.open.add(self)
@@ -136,28 +136,28 @@
         self._set_timer(state.limits["idle_ms"])
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Withdraw the call that nobody waits for any more."""
+        """Report the running call as disconnected and release the memory of all bodies."""
         self._state.open.discard(self)
-        self._state.behind.discard(self)
+        self._state.slow_readers.discard(self)
         self._transport = None
-        held = self._body_bytes + sum(each.body_bytes for each in self._unanswered)
-        self._state.bodies.release(held)
+        reserved = self._body_bytes + sum(each.body_bytes for each in self._unanswered)
+        self._state.bodies.release(reserved)
         self._body_bytes = 0
         self._unanswered.clear()
         if self._call_id is not None:
-            self._state.on_gone(self._call_id)
+            self._state.on_disconnect(self._call_id)
             self._call_id = None
 
     def pause_writing(self) -> None:
-        """Note that the caller leaves answers unread."""
-        self._state.behind.add(self)
+        """Record that the caller is a slow reader."""
+        self._state.slow_readers.add(self)
 
     def resume_writing(self) -> None:
-        """Note that the caller has read what was left."""
-        self._state.behind.discard(self)
+        """Record that the caller has caught up with reading."""
+        self._state.slow_readers.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse; a request that breaks the rules is answered with a refusal and the end."""
+        """Parse requests; an invalid one ends the connection, after any pending answer."""
         if self._ended:
             return
         if not self._in_request and not self._busy:
@@ -176,31 +176,31 @@
             self._reject(BadRequest(431, "headers-too-large"))
 
     def eof_received(self) -> bool:
-        """Close when the caller has closed its side."""
+        """Close the connection when the caller has closed its side."""
         return False
 
     # httptools
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Reset the state for a new request."""
         self._reset()
         self._in_request = True
 
     def on_url(self, url: bytes) -> None:
-        """Take in a piece of the request target."""
+        """Append a part of the request target."""
         self._url += url
         if len(self._url) > self._state.limits["header_bytes"]:
             raise _TooLargeError(431, "headers-too-large")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take in a header."""
+        """Record a header."""
         head = self._head
         head.add(name, value)
         if head.size + len(self._url) > self._state.limits["header_bytes"]:
             raise _TooLargeError(431, "headers-too-large")
 
     def on_headers_complete(self) -> None:
-        """Invite the body if the caller waits for that."""
+        """Send 100 Continue if the caller expects it."""
         self._head_done = True
         if not self._busy:
             self._set_timer(self._state.limits["request_ms"])
@@ -208,7 +208,7 @@
             self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Take in a piece of the body."""
+        """Append a part of the body and reserve memory for it."""
         size = self._body_bytes + len(body)
         if size > self._state.limits["body_bytes"]:
             raise _TooLargeError(413, "body-too-large")
@@ -219,7 +219,7 @@
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand the request on, or keep it until the one before has its answer."""
+        """Start the request, or queue it until the previous one is answered."""
         self._head_done = True
         self._in_request = False
         method = self._parser.get_method().decode()
@@ -233,59 +233,59 @@
             dialect = self._state.dialect
             self._waiting.append(dialect.read_request(method, self._url, self._head, body))
         self._reset()
-        if len(self._waiting) > MOST_PIPELINED and self._transport is not None:
+        if len(self._waiting) > MAX_PIPELINED and self._transport is not None:
             self._transport.pause_reading()
-        self._next()
+        self._start_next()
 
     # Answers
 
-    def begin(self, call_id: int) -> None:
-        """Note the number of the call in hand."""
+    def set_call_id(self, call_id: int) -> None:
+        """Set the id of the call that serves the current request."""
         self._call_id = call_id
 
     def answer(self, verdict: Verdict, trace: str) -> None:
-        """Write the final answer of the call in hand."""
+        """Write the answer to the current request; start the next one or close the connection."""
         self._call_id = None
         self._busy = False
         answered = self._unanswered.popleft()
-        keep = answered.keep_alive and not self._state.closing
+        keep_alive = answered.keep_alive and not self._state.closing
         self._state.bodies.release(answered.body_bytes)
-        self._write(_answer_bytes(self._state.dialect, verdict, trace, self._method, keep))
-        if not keep:
+        self._write(_answer_bytes(self._state.dialect, verdict, trace, self._method, keep_alive))
+        if not keep_alive:
             self._end()
             return
         self._set_timer(self._state.limits["idle_ms"])
-        if self._transport is not None and len(self._waiting) <= MOST_PIPELINED:
+        if self._transport is not None and len(self._waiting) <= MAX_PIPELINED:
             self._transport.resume_reading()
-        self._next()
+        self._start_next()
 
     @property
     def idle(self) -> bool:
-        """Return whether no request is under way."""
+        """Return whether no request is being received or served."""
         return not self._busy and not self._in_request
 
     @property
-    def unread(self) -> int:
-        """Return the bytes of answers that the caller has not taken yet."""
+    def unread_bytes(self) -> int:
+        """Return the bytes of answers in the write buffer."""
         return self._transport.get_write_buffer_size() if self._transport is not None else 0
 
     def close(self) -> None:
-        """Close the connection when all that was written is sent."""
+        """Close the connection after the write buffer is sent."""
         self._end()
 
-    def cut_off(self) -> None:
-        """Close the connection at once; what was written and not sent is lost."""
+    def abort(self) -> None:
+        """Close the connection at once and discard the write buffer."""
         if self._transport is not None:
             self._transport.abort()
 
     # Steps
 
-    def _next(self) -> None:
+    def _start_next(self) -> None:
         if self._busy or not self._waiting or self._ended:
             return
         req = self._waiting.popleft()
         self._busy = True
-        self.due = float("inf")
+        self.expires_at = float("inf")
         if isinstance(req, BadRequest):
             self._fail(req)
             return
@@ -316,11 +316,11 @@
         else:
             self._state.count.bad += 1
         verdict = NotRun(bad.reason, 1.0 if bad.status == 503 else 0.0, bad.status)
-        self._write(_answer_bytes(self._state.dialect, verdict, "", "", keep=False))
+        self._write(_answer_bytes(self._state.dialect, verdict, "", "", keep_alive=False))
         self._end()
 
-    def late(self) -> None:
-        """Close the connection, which has taken too long; a request under way gets an answer."""
+    def on_timeout(self) -> None:
+        """Close the overdue connection; a request that is being received is answered with 408."""
         if self._busy:
             return
         if self._in_request:
@@ -331,7 +331,7 @@
 
     def _end(self) -> None:
         self._ended = True
-        self.due = float("inf")
+        self.expires_at = float("inf")
         if self._transport is not None:
             self._transport.close()
 
@@ -340,11 +340,11 @@
             self._transport.write(data)
 
     def _set_timer(self, ms: int) -> None:
-        self.due = time.monotonic() + ms / 1000
+        self.expires_at = time.monotonic() + ms / 1000
 
 
 class _TooLargeError(Exception):
-    """A part of a request is above its limit."""
+    """A part of a request exceeds its limit."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -358,9 +358,11 @@
     return BadRequest(400, "malformed-request")
 
 
-def _answer_bytes(dialect: Dialect, verdict: Verdict, trace: str, method: str, keep: bool) -> bytes:
+def _answer_bytes(
+    dialect: Dialect, verdict: Verdict, trace: str, method: str, keep_alive: bool
+) -> bytes:
     status, headers, body = dialect.answer(verdict, trace)
-    if not keep:
+    if not keep_alive:
         headers = [*headers, [b"Connection", b"close"]]
     bodiless = status == 204 or status == 304 or status < 200
     head = write_head(status_line(status), headers, None if bodiless else len(body))
--- a/foldhoist/daemon/ingress_task.py
+++ b/foldhoist/daemon/ingress_task.py
@@ -59,7 +59,7 @@
         call_id = self._next_call
         self._next_call += 1
         self._callers[call_id] = conn
-        conn.begin(call_id)
+        conn.set_call_id(call_id)
         tickets = self._owner_task.owner.tickets
         req = req._replace(parent_rank=tickets.most_common_rank, parent_repeat=tickets.repeat_share)
         self._carry_out(self.ingress.arrive(self._loop.time(), call_id, req))
--- a/foldhoist/daemon/upstream.py
+++ b/foldhoist/daemon/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to the upstream: pooled, reused only after a whole answer, bounded in number."""
+"""Connections to the upstream: a bounded pool; only a complete answer allows reuse."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
     from foldhoist.daemon.dialect import Dialect
 
 MAX_IDLE_S = 20.0
-"""A connection unused for this long is closed and not used again, seconds."""
+"""Maximum idle time after which a connection is still reused, seconds."""
 IDLE_MARGIN_S = 1.5
-"""An upstream that names its own idle time is left this much of it, seconds."""
+"""Subtracted from the timeout in an upstream's Keep-Alive header, seconds."""
 CONNECTION_LOST = "upstream-connection-lost"
-"""Reason of a call whose connection ended before its answer was whole."""
+"""Reason of a call whose connection was lost before its answer was complete."""
 
 
 class _TooLargeError(Exception):
-    """An answer's body is above its limit."""
+    """The body of an answer exceeds its limit."""
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection; one call at a time; the end of a call is told once."""
+    """A connection that runs one call at a time; `on_end` is called once per call."""
 
     def __init__(
         self,
@@ -49,48 +49,48 @@
         self._transport: asyncio.Transport | None = None
         self._running = False
         self._sent = False
-        self._head = False
+        self._is_head = False
         self._complete = False
         self._result: Result | None = None
         self.head = HeadReader(dialect.upstream_rules)
-        self._begin(head=False)
+        self._reset(is_head=False)
 
     @property
     def connected(self) -> bool:
-        """Return whether the upstream has not ended the connection."""
+        """Return whether the connection is open."""
         return self._transport is not None
 
     @property
     def usable(self) -> bool:
-        """Return whether another call may use the connection."""
-        return self._transport is not None and not self._running and self._clean
+        """Return whether the connection can take another call."""
+        return self._transport is not None and not self._running and self._reusable
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def call(self, call: StartCall, data: bytes) -> None:
-        """Send a request."""
+        """Send the encoded request of a call."""
         self.ticket = call.ticket
         self._call = call
-        self._begin(call.request["method"] == "HEAD")
+        self._reset(call.request["method"] == "HEAD")
         self._running = True
         self._sent = True
         assert self._transport is not None
         self._transport.write(data)
 
     def abort(self, reason: str) -> None:
-        """Close the connection at once; a call on it is broken."""
-        self._clean = False
+        """Close the connection at once; a running call ends as incomplete."""
+        self._reusable = False
         if self._transport is not None:
             self._transport.abort()
         self._finish(Incomplete(self._sent, reason))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the call on it: broken, unless its answer runs until the end of the connection."""
+        """End the running call; only an answer that lasts until the connection ends is complete."""
         self._transport = None
-        self._clean = False
+        self._reusable = False
         if self._running and self._until_close and exc is None:
             result = self._interpret()
             if result is not None:
@@ -99,7 +99,7 @@
         self._finish(Incomplete(self._sent, CONNECTION_LOST))
 
     def data_received(self, data: bytes) -> None:
-        """Parse; bytes that nobody asked for spoil the connection."""
+        """Parse an answer; bytes without a running call close the connection."""
         if not self._running:
             self.abort("bytes-without-request")
             return
@@ -107,7 +107,7 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
             if self._result is not None:
-                self._not_reusable = True
+                self._close_after = True
                 self._finish(self._result)
                 return
             too_large = isinstance(exc.__context__, _TooLargeError)
@@ -119,13 +119,13 @@
     # httptools
 
     def on_message_begin(self) -> None:
-        """Begin an answer; a second one to the same request spoils the connection."""
+        """Rule out reuse of the connection if a second answer to one request begins."""
         if self._complete:
-            self._clean = False
-            self._not_reusable = True
+            self._reusable = False
+            self._close_after = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take in a header."""
+        """Record a header."""
         if self._complete:
             return
         lower = name.lower()
@@ -135,22 +135,24 @@
         self.head.add(name, value)
 
     def on_headers_complete(self) -> None:
-        """Take in the status; an answer to HEAD ends here."""
+        """Record the status and how the body ends; an answer to HEAD is complete here."""
         if self._complete:
             return
         self._status = self._parser.get_status_code()
         if self._status < 200:
             return
-        self._keep = self._parser.should_keep_alive()
-        self._until_close = not self._framed and self._status not in (204, 304) and not self._head
-        if self._head:
-            self._clean = False
-            self._not_reusable = True
+        self._keep_alive = self._parser.should_keep_alive()
+        self._until_close = (
+            not self._framed and self._status not in (204, 304) and not self._is_head
+        )
+        if self._is_head:
+            self._reusable = False
+            self._close_after = True
             self._complete = True
             self._result = self._interpret() or Incomplete(True, "answer-to-another-call")
 
     def on_body(self, body: bytes) -> None:
-        """Take in a piece of the body."""
+        """Append a part of the body."""
         if self._complete:
             return
         self._body_bytes += len(body)
@@ -159,29 +161,29 @@
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Note that the answer is whole; the call ends when all bytes at hand are parsed."""
+        """Mark the answer as complete; the call ends once the received bytes are parsed."""
         if self._complete:
             return
         result = self._interpret() if self._status >= 200 else None
         if result is None:
-            self._begin_answer()
+            self._reset_answer()
             return
         self._complete = True
         self._result = result
 
     # Steps
 
-    def _begin(self, head: bool) -> None:
+    def _reset(self, is_head: bool) -> None:
         self._parser = httptools.HttpResponseParser(self)
-        self._head = head
+        self._is_head = is_head
         self._result = None
-        self._begin_answer()
-        self._keep = False
+        self._reset_answer()
+        self._keep_alive = False
         self._complete = False
-        self._not_reusable = False
-        self._clean = True
+        self._close_after = False
+        self._reusable = True
 
-    def _begin_answer(self) -> None:
+    def _reset_answer(self) -> None:
         self.head = HeadReader(self._dialect.upstream_rules)
         self._body: list[bytes] = []
         self._body_bytes = 0
@@ -190,12 +192,12 @@
         self._until_close = False
 
     def _interpret(self) -> Result | None:
-        """Return what the answer means, or None if it belongs to another call."""
+        """Return the result of the answer, or None if it belongs to another call."""
         assert self._call is not None
         body = b"".join(self._body)
         result = self._dialect.result(self._status, self.head, body, self._call)
         if isinstance(result, Incomplete):
-            self._not_reusable = True
+            self._close_after = True
         return result
 
     def _finish(self, result: Result) -> None:
@@ -203,13 +205,13 @@
             return
         self._running = False
         if self._complete:
-            self._clean = self._keep and not self._not_reusable
+            self._reusable = self._keep_alive and not self._close_after
             self.idle_s = _idle_s(self.head)
         self._on_end(self, result)
 
 
 class UpstreamPool:
-    """All connections to the upstream; at most `most` of them."""
+    """The connections to the upstream, at most `max_connections`."""
 
     def __init__(
         self,
@@ -235,16 +237,16 @@
 
     @property
     def open(self) -> int:
-        """Return the connections that are open or being opened."""
+        """Return the number of connections that are open or being opened."""
         return len(self._idle) + len(self._busy) + len(self._connecting)
 
     @property
     def has_connection(self) -> bool:
-        """Return whether any connection to the upstream stands: then it has not ended."""
+        """Return whether a connection is open, which shows that the upstream is running."""
         return any(conn.connected for conn in (*self._busy.values(), *self._idle))
 
     def start(self, now: float, call: StartCall) -> None:
-        """Send a call on a pooled connection, or on a new one."""
+        """Send a call on an idle connection, or on a new one; `now` is monotonic seconds."""
         data = self._request_bytes(call)
         while self._idle:
             conn = self._idle.pop()
@@ -260,7 +262,7 @@
         self._connecting[call.ticket] = task
 
     def cancel(self, ticket: int, reason: str = "cancelled") -> None:
-        """Stop a call; its connection is closed, which the upstream takes as cancellation."""
+        """Cancel a call; closing its connection cancels it at the upstream."""
         task = self._connecting.pop(ticket, None)
         if task is not None:
             task.cancel()
@@ -278,7 +280,7 @@
             conn.abort("closing")
 
     async def try_connect(self) -> bool:
-        """Open a connection for later calls; returns whether the upstream took it."""
+        """Open a connection for later calls; return whether the upstream accepted it."""
         try:
             conn = await self._open()
         except (OSError, TimeoutError):
@@ -288,7 +290,7 @@
         return True
 
     def close_idle(self) -> None:
-        """Close idle connections: the upstream at the address is another one now."""
+        """Close the idle connections after the upstream at the address was replaced."""
         while self._idle:
             self._idle.pop().abort("upstream-replaced")
 
@@ -327,17 +329,17 @@
 
     def _request_bytes(self, call: StartCall) -> bytes:
         req = call.request
-        first = f"{req['method']} {req['path']} HTTP/1.1\r\n".encode("latin-1")
+        request_line = f"{req['method']} {req['path']} HTTP/1.1\r\n".encode("latin-1")
         length = len(req["body"]) if req["body"] or req["method"] in _WITH_BODY else None
         headers = self.dialect.request_headers(call, self._host)
-        return write_head(first, headers, length) + req["body"]
+        return write_head(request_line, headers, length) + req["body"]
 
 
 _WITH_BODY = frozenset({"POST", "PUT", "PATCH"})
 
 
 def _idle_s(head: HeadReader) -> float:
-    """Return how long the connection may rest, by the upstream's Keep-Alive header if any."""
+    """Return how long the connection may be idle, limited by a Keep-Alive header, seconds."""
     for part in head.values.get(b"keep-alive", b"").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
--- a/foldhoist/daemon/upstream_task.py
+++ b/foldhoist/daemon/upstream_task.py
@@ -1,4 +1,4 @@
-"""Takes what the upstream announces, and answers it when that binds."""
+"""Applies the upstream's announcements; departures are acknowledged once they are recorded."""
 
 from __future__ import annotations
 
@@ -22,45 +22,47 @@
     from foldhoist.daemon.peers_task import PeersTask
     from foldhoist.schema.messages import Announced
 
-SETTLE_S = 2.0
-"""Longest wait of a restarted daemon for what earlier lives have acknowledged, seconds."""
-PEERS_S = 0.4
-"""Longest wait for peers after the store has answered, seconds.
+STARTUP_TIMEOUT_S = 2.0
+"""Maximum wait of a restarted daemon for departures acknowledged before its start, seconds."""
+PEERS_TIMEOUT_S = 0.4
+"""Maximum wait for peers after the store has answered, seconds.
 
-A peer that runs answers within some milliseconds; without this bound, records of hosts that are
-gone keep a restarted daemon from serving for the whole of `SETTLE_S`.
+It keeps records of hosts that no longer exist from delaying the start by `STARTUP_TIMEOUT_S`.
 """
-BIND_S = 0.6
-"""Longest wait for a peer or the store to note that the upstream leaves, seconds."""
-WRITE_AGAIN_S = 0.1
-"""First pause after the store did not note a leaving, seconds; it doubles each time."""
-WRITE_LONGEST_S = 3.0
-"""Longest such pause, seconds."""
-PASSED_OVER_PER_S = 0.1
-"""Log lines a second of words that are passed over: who writes them does so every few seconds."""
-PASSED_OVER_AT_ONCE = 5.0
-"""Such lines that may be written at once."""
-LONGEST_FAULT = 300
-"""Longest part of a fault that is logged, characters."""
+RECORD_TIMEOUT_S = 0.6
+"""Maximum wait for a peer or the store to record that the upstream leaves, seconds."""
+MIN_WRITE_RETRY_S = 0.1
+"""Pause after the first failed write of a departure to the store, seconds; it doubles."""
+MAX_WRITE_RETRY_S = 3.0
+"""Maximum pause after a failed write, seconds."""
+INVALID_LOG_LINES_PER_S = 0.1
+"""Rate limit of log lines on invalid announcements, which are often repeated."""
+INVALID_LOG_LINES_BURST = 5.0
+"""Number of such lines that may be written in a burst."""
+MAX_FAULT_CHARS = 300
+"""Maximum length of a logged fault, characters."""
 
 
 @dataclass(slots=True)
 class Counters:
-    """What was said of the upstream since this daemon started."""
+    """Counters of announcements since this daemon started; `passed_over` were invalid."""
 
     heard: int = 0
     passed_over: int = 0
 
 
-class _Binding(NamedTuple):
-    """A leaving that is being noted elsewhere, of a life with this start."""
+class _PendingRecord(NamedTuple):
+    """A departure that is being recorded elsewhere; `born_ms` is the incarnation's start."""
 
     born_ms: int
     done: asyncio.Event
 
 
 class UpstreamTask:
-    """Owns what is known of the upstream beside this daemon."""
+    """Owns the state of the upstream beside this daemon.
+
+    `on_change(replaced)` is called with whether another incarnation is current.
+    """
 
     def __init__(
         self,
@@ -76,30 +78,32 @@
         self._on_change = on_change
         self._service = service
         self._barrier = StartupBarrier(first=False)
-        self._settled = False
-        self._began = 0.0
-        self._noted: dict[str, _Binding] = {}
+        self._released = False
+        self._started_at = 0.0
+        self._pending_records: dict[str, _PendingRecord] = {}
         self._loop = asyncio.get_running_loop()
-        self._lines = TokenBucket(PASSED_OVER_PER_S, PASSED_OVER_AT_ONCE, self._loop.time())
-        self._stores: set[asyncio.Task[None]] = set()
+        self._log_bucket = TokenBucket(
+            INVALID_LOG_LINES_PER_S, INVALID_LOG_LINES_BURST, self._loop.time()
+        )
+        self._writes: set[asyncio.Task[None]] = set()
 
     def start(self, peers: PeersTask, first: bool) -> None:
-        """Begin; the first life of a daemon has nothing to learn of earlier ones."""
+        """Start waiting for the store and peers; `first` says that there is nothing to wait for."""
         self._peers = peers
         self._barrier = StartupBarrier(first)
-        self._began = self._loop.time()
-        self._loop.call_later(SETTLE_S, self._give_up)
-        self._settle()
+        self._started_at = self._loop.time()
+        self._loop.call_later(STARTUP_TIMEOUT_S, self._give_up)
+        self._release_if_done()
 
     def close(self) -> None:
-        """Stop writing."""
-        for task in self._stores:
+        """Cancel the writes to the store."""
+        for task in self._writes:
             task.cancel()
 
     def announcement(self) -> Announced:
-        """Return what peers are told; an upstream that may not be used yet is not named."""
+        """Return the announcement for peers; its `instance` is empty until calls may go to it."""
         current = self.known.current
-        if current is not None and self._settled:
+        if current is not None and self._released:
             return current
         return {
             "instance": "",
@@ -112,146 +116,158 @@
         }
 
     async def on_announcement(self, announced: Announced) -> bool:
-        """Take in an announcement; returns when a leaving may be acknowledged.
+        """Apply an announcement; a departure returns once it may be acknowledged.
 
-        Returns False if it names no upstream: no configuration knows the service. Who leaves is
-        heard all the same.
+        Returns False if the upstream is ready and its service is not in the configuration.
         """
         if announced["state"] == "ready" and not self._is_service(announced["service"]):
             return False
         self.count.heard += 1
         before = self.known.current
-        heard = self.known.apply_announcement(announced, self._loop.time())
-        if heard is not AnnouncementResult.NOTHING:
+        result = self.known.apply_announcement(announced, self._loop.time())
+        if result is not AnnouncementResult.NOTHING:
             logger.info(
                 "upstream {} of {}: {}, sequence {}",
-                _told(incarnation_of(announced)),
+                _label(incarnation_of(announced)),
                 announced["service"],
                 announced["state"],
                 announced["sequence"],
             )
-            self._changed(before)
+            self._publish(before)
         elif self.known.current is announced:
             self._owner_task.announced_again(announced["cold_ms"] / 1000)
-        if heard is AnnouncementResult.LEAVING:
-            await self._bind(incarnation_of(announced))
+        if result is AnnouncementResult.LEAVING:
+            await self._record_departure(incarnation_of(announced))
         elif announced["state"] != "ready":
-            await self._until_noted(announced["instance"])
+            await self._until_recorded(announced["instance"])
         return True
 
     def on_invalid(self, fault: str) -> None:
-        """Count a word that names no upstream, and log it if there are not too many."""
+        """Count an invalid announcement and log it within the rate limit."""
         self.count.passed_over += 1
-        if self._lines.take(self._loop.time()):
-            logger.warning("a word on the upstream is passed over: {}", fault[:LONGEST_FAULT])
+        if self._log_bucket.take(self._loop.time()):
+            logger.warning(
+                "invalid announcement of the upstream is ignored: {}", fault[:MAX_FAULT_CHARS]
+            )
 
     async def on_departure(self, instance: str, born_ms: int) -> bool:
-        """Take in that a life of the upstream is over; returns when that may be acknowledged.
+        """Apply the departure of an incarnation; return once it may be acknowledged.
 
-        Returns False if it is not acknowledged: it may be a late word of the life before.
+        Returns False if it may be a late message of the previous incarnation.
         """
         before = self.known.current
         wall_ms = int(time.time() * 1000)
         match self.known.apply_departure(instance, self._loop.time(), wall_ms, born_ms):
             case AnnouncementResult.UNSURE:
-                logger.info("upstream {} is said to be gone, perhaps its life before", instance)
+                logger.info(
+                    "departure of upstream {} is ignored, it may be of the previous incarnation",
+                    instance,
+                )
                 return False
             case AnnouncementResult.NOTHING:
-                await self._until_noted(instance)
+                await self._until_recorded(instance)
                 return True
-        logger.info("upstream {} is gone, by its own word", instance)
-        self._changed(before)
-        await self._bind(UpstreamIncarnation(instance, born_ms))
+        logger.info("upstream {} has announced its departure", instance)
+        self._publish(before)
+        await self._record_departure(UpstreamIncarnation(instance, born_ms))
         return True
 
-    def peer_answered(self, name: str, noted: Iterable[UpstreamIncarnation]) -> None:
-        """Take in that a peer has read what this daemon is; it has noted these lives as ended."""
-        for life in noted:
-            binding = self._noted.get(life.instance)
-            if binding is not None and binding.born_ms <= life.born_ms:
-                binding.done.set()
+    def peer_answered(self, name: str, recorded: Iterable[UpstreamIncarnation]) -> None:
+        """Handle a peer's answer; it has recorded these incarnations as ended."""
+        for incarnation in recorded:
+            pending = self._pending_records.get(incarnation.instance)
+            if pending is not None and pending.born_ms <= incarnation.born_ms:
+                pending.done.set()
         self._barrier.peer_answered(name)
-        self._settle()
+        self._release_if_done()
 
     def store_answered(self, ended: Iterable[UpstreamIncarnation], peers: AbstractSet[str]) -> None:
-        """Take in what the store knows of this daemon's earlier lives, and which peers it names."""
+        """Handle the store's answer: the upstream's ended incarnations and the peers it names."""
         self._barrier.store_answered(peers)
-        self._loop.call_later(PEERS_S, self._waited)
-        self._take_ended(ended)
+        self._loop.call_later(PEERS_TIMEOUT_S, self._on_wait_elapsed)
+        self._apply_ended(ended)
 
     def add_ended(self, ended: Iterable[UpstreamIncarnation]) -> None:
-        """Take in what a peer knows of this daemon's earlier lives."""
+        """Add incarnations that a peer recorded as ended for an earlier run of this daemon."""
         self._barrier.peer_remembered()
-        self._take_ended(ended)
+        self._apply_ended(ended)
 
     # Steps
 
-    def _take_ended(self, ended: Iterable[UpstreamIncarnation]) -> None:
+    def _apply_ended(self, ended: Iterable[UpstreamIncarnation]) -> None:
         before = self.known.current
         if self.known.add_ended(ended):
-            logger.info("upstream was leaving before this daemon started")
-            self._changed(before)
-        self._settle()
+            logger.info("upstream was already leaving before this daemon started")
+            self._publish(before)
+        self._release_if_done()
 
-    def _waited(self) -> None:
+    def _on_wait_elapsed(self) -> None:
         self._barrier.wait_elapsed()
-        self._settle()
+        self._release_if_done()
 
     def _give_up(self) -> None:
         self._barrier.give_up()
-        self._settle()
+        self._release_if_done()
 
-    def _settle(self) -> None:
-        if self._settled or not self._barrier.done:
+    def _release_if_done(self) -> None:
+        if self._released or not self._barrier.done:
             return
-        self._settled = True
+        self._released = True
         logger.info(
-            "{:.3f} s after the start, the upstream may be served", self._loop.time() - self._began
+            "{:.3f} s after the start, the upstream may receive calls",
+            self._loop.time() - self._started_at,
         )
         if self.known.current is not None:
-            self._changed(None)
+            self._publish(None)
 
-    def _changed(self, before: Announced | None) -> None:
+    def _publish(self, before: Announced | None) -> None:
         current = self.known.current
-        if current is None or not self._settled:
+        if current is None or not self._released:
             return
         self._owner_task.announce(current)
         replaced = before is None or not incarnation_of(before).is_same(incarnation_of(current))
         self._on_change(replaced)
 
-    async def _bind(self, life: UpstreamIncarnation) -> None:
-        """Wait until a peer or the store has noted the leaving, so that it outlasts this life."""
-        binding = _Binding(life.born_ms, asyncio.Event())
-        self._noted[life.instance] = binding
-        task = self._loop.create_task(self._store(binding.done))
-        self._stores.add(task)
-        task.add_done_callback(self._stores.discard)
-        if not await self._until_noted(life.instance):
-            logger.warning("no peer and no store noted that {} leaves", life.instance)
-        if self._noted.get(life.instance) is binding:
-            del self._noted[life.instance]
-
-    async def _until_noted(self, instance: str) -> bool:
-        """Wait while a leaving is being noted; returns whether that was done in time."""
-        binding = self._noted.get(instance)
-        if binding is None:
+    async def _record_departure(self, incarnation: UpstreamIncarnation) -> None:
+        """Wait until a peer or the store has recorded the departure, to survive a restart."""
+        pending = _PendingRecord(incarnation.born_ms, asyncio.Event())
+        self._pending_records[incarnation.instance] = pending
+        task = self._loop.create_task(self._write_to_store(pending.done))
+        self._writes.add(task)
+        task.add_done_callback(self._writes.discard)
+        if not await self._until_recorded(incarnation.instance):
+            logger.warning(
+                "neither a peer nor the store has recorded the departure of {}",
+                incarnation.instance,
+            )
+        if self._pending_records.get(incarnation.instance) is pending:
+            del self._pending_records[incarnation.instance]
+
+    async def _until_recorded(self, instance: str) -> bool:
+        """Wait while a departure is being recorded; return False on a timeout."""
+        pending = self._pending_records.get(instance)
+        if pending is None:
             return True
         try:
-            async with asyncio.timeout(BIND_S):
-                await binding.done.wait()
+            async with asyncio.timeout(RECORD_TIMEOUT_S):
+                await pending.done.wait()
         except TimeoutError:
             return False
         return True
 
-    async def _store(self, event: asyncio.Event) -> None:
-        """Write the leaving to the store, again and again until that is done."""
-        pause = WRITE_AGAIN_S
+    async def _write_to_store(self, event: asyncio.Event) -> None:
+        """Write the departure to the store, with retries until it succeeds."""
+        pause = MIN_WRITE_RETRY_S
         while not await self._peers.write_record():
             await asyncio.sleep(pause)
-            pause = min(WRITE_LONGEST_S, pause * 2)
+            pause = min(MAX_WRITE_RETRY_S, pause * 2)
         event.set()
 
 
-def _told(life: UpstreamIncarnation) -> str:
-    """Return what the log calls a life."""
-    return f"{life.instance} (started {life.born_ms})" if life.born_ms else life.instance
+def _label(incarnation: UpstreamIncarnation) -> str:
+    """Return the label of an incarnation in the log."""
+    return (
+        f"{incarnation.instance} (started {incarnation.born_ms})"
+        if incarnation.born_ms
+        else incarnation.instance
+    )
--- a/tests/unit/daemon/test_callers.py
+++ b/tests/unit/daemon/test_callers.py
@@ -1,4 +1,4 @@
-"""Tests of the caller side: limits, broken and smuggled requests, pipelining."""
+"""Tests of caller connections: limits, invalid and smuggled requests, pipelining."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 
 class Wire:
-    """One caller connection without a socket; requests are kept, answers are given by hand."""
+    """A caller connection without a socket that records requests; the test answers them."""
 
     def __init__(self, **limits: int) -> None:
         cfg = default_settings()["limits"]
         cfg.update(limits)  # type: ignore[typeddict-item]
         self.requests: list[CallerRequest] = []
-        self.gone: list[int] = []
-        self.callers = ServerState(cfg, self.took, self.gone.append)
+        self.disconnected: list[int] = []
+        self.callers = ServerState(cfg, self.record, self.disconnected.append)
         self.transport = FakeTransport()
         self.conn = CallerConnection(self.callers)
         self.conn.connection_made(self.transport)
 
-    def took(self, conn: CallerConnection, req: CallerRequest) -> None:
+    def record(self, conn: CallerConnection, req: CallerRequest) -> None:
         self.requests.append(req)
-        conn.begin(len(self.requests))
+        conn.set_call_id(len(self.requests))
 
     def send(self, data: bytes) -> bytes:
         self.conn.data_received(data)
@@ -42,7 +42,7 @@
 OK = Answered(Response(200, [[b"X-A", b"1"]], b"yes"))
 
 
-def test_an_answer_carries_verdict_and_trace() -> None:
+def test_answer_carries_verdict_and_trace() -> None:
     wire = Wire()
     wire.send(GET)
     wire.conn.answer(OK, "t")
@@ -52,7 +52,7 @@
     assert text.endswith(b"\r\n\r\nyes")
 
 
-def test_a_refusal_tells_when_to_come_back() -> None:
+def test_refusal_carries_retry_after() -> None:
     wire = Wire()
     wire.send(GET)
     wire.conn.answer(NotRun("queue-full", 0.3), "t")
@@ -92,7 +92,7 @@
         (b"GET /a HTTP/1.1\r\nUpgrade: h2c\r\nConnection: upgrade\r\n\r\n", 400),
     ],
 )
-def test_what_breaks_the_rules_is_refused_and_not_handed_on(data: bytes, status: int) -> None:
+def test_invalid_request_is_refused_and_not_passed_on(data: bytes, status: int) -> None:
     wire = Wire(header_bytes=1000, body_bytes=500)
     text = wire.send(data)
     assert text.startswith(b"HTTP/1.1 %d " % status), text
@@ -100,7 +100,7 @@
     assert wire.requests == []
 
 
-def test_a_body_in_many_pieces_is_joined() -> None:
+def test_body_in_many_parts_is_joined() -> None:
     wire = Wire()
     data = b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
     for at in range(len(data)):
@@ -116,15 +116,15 @@
     assert [req.path for req in wire.requests] == ["/a", "/b"]
 
 
-def test_a_slow_request_is_refused() -> None:
+def test_slow_request_is_refused() -> None:
     wire = Wire(request_ms=10)
     wire.send(b"GET /a HTT")
-    assert wire.conn.due < float("inf")
-    wire.conn.late()
+    assert wire.conn.expires_at < float("inf")
+    wire.conn.on_timeout()
     assert wire.transport.take().startswith(b"HTTP/1.1 408 ")
 
 
-def test_one_connection_too_many_is_refused_and_the_others_stay() -> None:
+def test_connection_above_the_limit_is_refused_and_the_others_stay() -> None:
     wire = Wire(callers=1)
     second = CallerConnection(wire.callers)
     transport = FakeTransport()
@@ -134,14 +134,14 @@
     assert len(wire.requests) == 1
 
 
-def test_a_caller_that_leaves_withdraws_its_call() -> None:
+def test_disconnect_of_a_caller_is_reported() -> None:
     wire = Wire()
     wire.send(GET)
     wire.conn.connection_lost(None)
-    assert wire.gone == [1]
+    assert wire.disconnected == [1]
 
 
-def test_own_and_hop_headers_are_not_passed_on() -> None:
+def test_own_and_hop_by_hop_headers_are_not_forwarded() -> None:
     wire = Wire()
     head = b"Connection: keep-alive, X-Secret\r\nX-Secret: 1\r\nFoldhoist-Hops: 3\r\nX-B: 2\r\n"
     wire.send(b"GET /a HTTP/1.1\r\nHost: x\r\n" + head + b"\r\n")
@@ -161,12 +161,12 @@
 
 
 def post(size: int, sent: int | None = None) -> bytes:
-    """Return a request whose body has this size, of which `sent` bytes come at once."""
+    """Return a request with a body of `size` bytes, of which the first `sent` are included."""
     head = f"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: {size}\r\n\r\n"
     return head.encode() + b"x" * (size if sent is None else sent)
 
 
-def test_bodies_held_at_once_are_bounded_and_a_refused_one_may_come_back() -> None:
+def test_body_memory_is_bounded_and_refusal_carries_retry_after() -> None:
     wire = Wire(held_bytes=100_000)
     first = CallerConnection(wire.callers)
     first.connection_made(FakeTransport())
@@ -182,7 +182,7 @@
     assert wire.callers.bodies.used == 0
 
 
-def test_a_body_is_held_until_its_answer() -> None:
+def test_body_memory_is_released_with_the_answer() -> None:
     wire = Wire()
     wire.send(post(5000) + post(300))
     assert wire.callers.bodies.used == 5300
@@ -192,7 +192,7 @@
     assert wire.callers.bodies.used == 0
 
 
-def test_callers_that_leave_too_much_unread_are_cut_off_the_worst_first() -> None:
+def test_slowest_readers_are_aborted_first() -> None:
     wire = Wire(held_bytes=100_000)
     transports = {size: FakeTransport() for size in (30_000, 80_000, 40_000)}
     for size, transport in transports.items():
@@ -200,21 +200,21 @@
         conn.connection_made(transport)
         transport.write(b"x" * size)
         conn.pause_writing()
-    wire.callers.cut_off_unread()
+    wire.callers.abort_slow_readers()
     assert [size for size, transport in transports.items() if transport.aborted] == [80_000]
     assert wire.callers.count.unread == 1
 
 
-def test_a_caller_that_reads_again_is_not_cut_off() -> None:
+def test_caller_that_has_caught_up_is_not_aborted() -> None:
     wire = Wire(held_bytes=100_000)
     wire.transport.write(b"x" * 200_000)
     wire.conn.pause_writing()
     wire.conn.resume_writing()
-    wire.callers.cut_off_unread()
+    wire.callers.abort_slow_readers()
     assert not wire.transport.aborted
 
 
-def test_nothing_is_held_after_a_connection_that_was_broken_off_while_calls_ran() -> None:
+def test_body_memory_is_released_after_a_connection_is_lost_during_calls() -> None:
     wire = Wire()
     wire.send(post(5000) + post(300))
     wire.send(b"nonsense\r\n\r\n")
--- a/tests/unit/daemon/test_upstream.py
+++ b/tests/unit/daemon/test_upstream.py
@@ -1,4 +1,4 @@
-"""Tests of the upstream side: what is whole, what spoils a connection."""
+"""Tests of connections to the upstream: complete answers and reuse of connections."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Wire:
-    """One upstream connection without a socket."""
+    """An upstream connection without a socket."""
 
     def __init__(self) -> None:
         self.results: list[Result] = []
@@ -27,7 +27,7 @@
             self.conn.data_received(answer)
 
 
-def test_a_whole_answer_leaves_a_usable_connection() -> None:
+def test_connection_is_usable_after_a_complete_answer() -> None:
     wire = Wire()
     wire.call(OK)
     assert wire.results == [Complete(200, [], b"abc")]
@@ -45,7 +45,7 @@
         b"HTTP/1.0 200 OK\r\nContent-Length: 3\r\n\r\nabc",
     ],
 )
-def test_an_answer_that_says_more_or_closes_is_taken_but_the_connection_is_not_used_again(
+def test_connection_is_not_reused_after_extra_bytes_or_a_closing_answer(
     answer: bytes,
 ) -> None:
     wire = Wire()
@@ -55,14 +55,14 @@
 
 
 @pytest.mark.parametrize("cut", range(1, len(OK)))
-def test_an_answer_cut_anywhere_is_broken(cut: int) -> None:
+def test_truncated_answer_is_incomplete(cut: int) -> None:
     wire = Wire()
     wire.call(OK[:cut])
     wire.conn.connection_lost(None)
     assert wire.results == [Incomplete(True, "upstream-connection-lost")]
 
 
-def test_an_answer_until_the_end_of_the_connection_is_whole_only_at_a_clean_end() -> None:
+def test_unframed_answer_is_complete_only_if_the_connection_ends_without_error() -> None:
     for exc, kind in ((None, Complete), (OSError(), Incomplete)):
         wire = Wire()
         wire.call(b"HTTP/1.1 200 OK\r\n\r\nabc")
@@ -70,7 +70,7 @@
         assert [type(each) for each in wire.results] == [kind]
 
 
-def test_bytes_without_a_request_spoil_the_connection() -> None:
+def test_connection_is_not_reused_after_bytes_without_a_request() -> None:
     wire = Wire()
     wire.call(OK)
     wire.conn.data_received(OK)
@@ -78,7 +78,7 @@
     assert len(wire.results) == 1
 
 
-def test_an_aborted_call_is_broken_once_and_late_bytes_are_nobodys() -> None:
+def test_aborted_call_ends_once_as_incomplete() -> None:
     wire = Wire()
     wire.call(b"")
     wire.conn.abort("cancelled")
@@ -87,32 +87,32 @@
     assert not wire.conn.usable
 
 
-def test_an_answer_above_the_limit_is_broken() -> None:
+def test_answer_above_the_limit_is_incomplete() -> None:
     wire = Wire()
     wire.call(b"HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n" + b"x" * 101)
     assert wire.results == [Incomplete(True, "answer-too-large")]
 
 
-def test_a_shed_call_did_not_run() -> None:
+def test_503_with_not_run_header_is_shed() -> None:
     wire = Wire()
     head = b"HTTP/1.1 503 Busy\r\nNot-Run: shed\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n"
     wire.call(head)
     assert wire.results == [Shed(2.0)]
 
 
-def test_a_503_without_that_header_may_have_run() -> None:
+def test_503_without_not_run_header_is_an_answer() -> None:
     wire = Wire()
     wire.call(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
     assert wire.results == [Complete(503, [], b"")]
 
 
-def test_an_interim_answer_is_not_the_answer() -> None:
+def test_interim_answer_is_skipped() -> None:
     wire = Wire()
     wire.call(b"HTTP/1.1 100 Continue\r\n\r\n" + OK)
     assert wire.results == [Complete(200, [], b"abc")]
 
 
-def test_the_answer_to_head_has_no_body() -> None:
+def test_answer_to_head_has_no_body() -> None:
     wire = Wire()
     wire.call(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n", head=True)
     assert wire.results == [Complete(200, [], b"")]
--- a/tests/unit/daemon/test_upstream_task.py
+++ b/tests/unit/daemon/test_upstream_task.py
@@ -1,4 +1,4 @@
-"""What an upstream announces, and when that is acknowledged and acted on."""
+"""Tests of when announcements of an upstream are acknowledged and applied."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
     from collections.abc import Callable, Coroutine
 
 NEVER_S = 600.0
-"""In place of the times after which the task acts without having heard, seconds."""
+"""Replaces the timeouts of the task, seconds."""
 
 
 @pytest.fixture(autouse=True)
-def no_time_runs_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let nothing end by time, however slow the machine is."""
-    monkeypatch.setattr(upstream_task, "BIND_S", NEVER_S)
-    monkeypatch.setattr(upstream_task, "SETTLE_S", NEVER_S)
+def without_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Disable the timeouts, so that the tests do not depend on the speed of the machine."""
+    monkeypatch.setattr(upstream_task, "RECORD_TIMEOUT_S", NEVER_S)
+    monkeypatch.setattr(upstream_task, "STARTUP_TIMEOUT_S", NEVER_S)
 
 
 class FakeOwner:
-    """Keeps what the owner is told."""
+    """Records the announcements to the owner."""
 
     def __init__(self) -> None:
-        self.told: list[str] = []
+        self.calls: list[str] = []
 
     def announce(self, upstream: Any) -> None:
-        """Keep the state."""
-        self.told.append(upstream["state"])
+        """Record the state."""
+        self.calls.append(upstream["state"])
 
     def announced_again(self) -> None:
-        """Keep that."""
-        self.told.append("announced again")
+        """Record the repeated announcement."""
+        self.calls.append("announced again")
 
 
 class FakePeers:
-    """A store that writes when the test says so."""
+    """A store that blocks writes until the test allows them."""
 
     def __init__(self) -> None:
         self.may_write = asyncio.Event()
@@ -49,7 +49,7 @@
         self.writes = 0
 
     async def write_record(self) -> bool:
-        """Write, or fail."""
+        """Wait until writes are allowed, or fail."""
         self.writes += 1
         if self.fails:
             self.fails -= 1
@@ -58,8 +58,8 @@
         return True
 
 
-class Around:
-    """An upstream task with fakes around it."""
+class Harness:
+    """An upstream task with a fake owner and fake peers."""
 
     def __init__(self, first: bool = True) -> None:
         self.owner: Any = FakeOwner()
@@ -68,8 +68,8 @@
         self.task.start(self.peers, first)
 
 
-def played(test: Callable[[], Coroutine[Any, Any, None]]) -> Callable[[], None]:
-    """Run a test in a loop of its own."""
+def run_async(test: Callable[[], Coroutine[Any, Any, None]]) -> Callable[[], None]:
+    """Run an async test in its own event loop."""
 
     def wrapped() -> None:
         asyncio.run(test())
@@ -79,7 +79,7 @@
 
 
 def announced(state: str, sequence: int) -> Any:
-    """Return what an upstream announces."""
+    """Return an announcement of an upstream."""
     return {
         "instance": "i-1",
         "service": "shop",
@@ -91,56 +91,56 @@
     }
 
 
-async def turns() -> None:
-    """Let every task run as far as it can."""
+async def run_pending_tasks() -> None:
+    """Let every task run until it blocks."""
     for _ in range(20):
         await asyncio.sleep(0)
 
 
-@played
-async def test_a_leaving_said_again_is_acknowledged_no_sooner_than_the_first_time() -> None:
-    around = Around()
-    await around.task.on_announcement(announced("ready", 1))
-    first = asyncio.ensure_future(around.task.on_announcement(announced("leaving", 2)))
-    await turns()
-    again = asyncio.ensure_future(around.task.on_announcement(announced("leaving", 3)))
-    deleted = asyncio.ensure_future(around.task.on_departure("i-1", 0))
-    await turns()
+@run_async
+async def test_repeated_departure_is_not_acknowledged_before_the_first() -> None:
+    harness = Harness()
+    await harness.task.on_announcement(announced("ready", 1))
+    first = asyncio.ensure_future(harness.task.on_announcement(announced("leaving", 2)))
+    await run_pending_tasks()
+    again = asyncio.ensure_future(harness.task.on_announcement(announced("leaving", 3)))
+    deleted = asyncio.ensure_future(harness.task.on_departure("i-1", 0))
+    await run_pending_tasks()
     assert not first.done()
     assert not again.done()
     assert not deleted.done()
-    around.peers.may_write.set()
+    harness.peers.may_write.set()
     await asyncio.gather(first, again, deleted)
 
 
-@played
-async def test_what_the_store_refused_is_written_again() -> None:
-    around = Around()
-    around.peers.fails = 2
-    around.peers.may_write.set()
-    await around.task.on_announcement(announced("ready", 1))
-    await around.task.on_announcement(announced("leaving", 2))
-    assert around.peers.writes == 3
-
-
-@played
-async def test_a_new_life_does_not_serve_on_the_stores_word_alone() -> None:
-    """The store was away when the leaving was acknowledged; only a peer has noted it."""
-    around = Around(first=False)
-    await around.task.on_announcement(announced("ready", 5))
-    around.task.store_answered((), {"b"})
-    assert around.owner.told == []
-    assert around.task.announcement()["instance"] == ""
-    around.task.add_ended([UpstreamIncarnation("i-1")])
-    assert around.owner.told == ["leaving"]
-
-
-@played
-async def test_a_new_life_serves_when_all_peers_say_that_they_know_nothing() -> None:
-    around = Around(first=False)
-    await around.task.on_announcement(announced("ready", 5))
-    around.task.store_answered((), {"b", "c"})
-    around.task.peer_answered("b", ())
-    assert around.owner.told == []
-    around.task.peer_answered("c", ())
-    assert around.owner.told == ["ready"]
+@run_async
+async def test_failed_write_to_the_store_is_retried() -> None:
+    harness = Harness()
+    harness.peers.fails = 2
+    harness.peers.may_write.set()
+    await harness.task.on_announcement(announced("ready", 1))
+    await harness.task.on_announcement(announced("leaving", 2))
+    assert harness.peers.writes == 3
+
+
+@run_async
+async def test_restarted_daemon_does_not_serve_after_the_stores_answer_alone() -> None:
+    """The store failed when the departure was acknowledged; only a peer has recorded it."""
+    harness = Harness(first=False)
+    await harness.task.on_announcement(announced("ready", 5))
+    harness.task.store_answered((), {"b"})
+    assert harness.owner.calls == []
+    assert harness.task.announcement()["instance"] == ""
+    harness.task.add_ended([UpstreamIncarnation("i-1")])
+    assert harness.owner.calls == ["leaving"]
+
+
+@run_async
+async def test_restarted_daemon_serves_once_all_peers_have_answered() -> None:
+    harness = Harness(first=False)
+    await harness.task.on_announcement(announced("ready", 5))
+    harness.task.store_answered((), {"b", "c"})
+    harness.task.peer_answered("b", ())
+    assert harness.owner.calls == []
+    harness.task.peer_answered("c", ())
+    assert harness.owner.calls == ["ready"]
