--- a/foldhoist/daemon/dialect.py
+++ b/foldhoist/daemon/dialect.py
@@ -1,6 +1,6 @@
-"""How callers and upstreams are spoken to over HTTP: the product's way, and the port for others.
+"""Translates between HTTP headers and calls: the interface and the default dialect.
 
-A deployment whose callers and upstreams use other headers brings a dialect of its own.
+A deployment whose callers and upstreams use other headers provides its own dialect.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
     DEFAULT_CALLER_RULES,
     DEFAULT_UPSTREAM_RULES,
     HOPS,
-    KEY,
+    IDEMPOTENCY_KEY,
     NOT_RUN,
     REASON,
     RETRY,
-    STATE,
     TRACE,
     TRACEPARENT,
+    UPSTREAM_STATE,
     URGENT,
     VERDICT,
     HeadRules,
@@ -33,11 +33,11 @@
     from foldhoist.delivery.call import CallerRequest
 
 SHED_RETRY_S = 0.5
-"""When to ask again if an upstream sheds a call and does not say, seconds."""
+"""Retry delay after a shed call without a whole number in Retry-After, seconds."""
 
 
 class Dialect(Protocol):
-    """What a deployment's headers mean; no sockets, no state of calls."""
+    """The meaning of a deployment's headers; no I/O and no state of calls."""
 
     caller_rules: HeadRules
     upstream_rules: HeadRules
@@ -45,7 +45,7 @@
     def read_request(
         self, method: str, url: bytes, head: HeadReader, body: bytes
     ) -> CallerRequest | BadRequest:
-        """Return a caller's request, or why it is refused."""
+        """Return a caller's request, or the refusal if it is invalid."""
 
     def answer(self, verdict: Verdict, trace: str) -> tuple[int, Headers, bytes]:
         """Return status, headers and body of a final answer."""
@@ -54,20 +54,20 @@
         """Return the headers of a request to the upstream at this address."""
 
     def result(self, status: int, head: HeadReader, body: bytes, call: StartCall) -> Result | None:
-        """Return what a whole answer means, or None if it belongs to another call."""
+        """Return the result of a complete answer, or None if it belongs to another call."""
 
     def sample_headers(self, instance: str, address: bytes) -> Headers:
-        """Return the headers of a question to the health path of this life of the upstream."""
+        """Return the headers of a request to the health path of this incarnation."""
 
     def sample(self, status: int, head: HeadReader) -> Sample:
-        """Return what an answer of the health path tells."""
+        """Return the sample in an answer of the health path."""
 
     def is_leaving(self, head: HeadReader) -> bool:
         """Return whether an answer says that the upstream is leaving."""
 
 
 class DefaultDialect:
-    """The product's own headers."""
+    """The headers of foldhoist itself."""
 
     caller_rules = DEFAULT_CALLER_RULES
     upstream_rules = DEFAULT_UPSTREAM_RULES
@@ -75,11 +75,11 @@
     def read_request(
         self, method: str, url: bytes, head: HeadReader, body: bytes
     ) -> CallerRequest | BadRequest:
-        """Return a caller's request, or why it is refused."""
+        """Return a caller's request, or the refusal if it is invalid."""
         return read_request(method, url, head, body)
 
     def answer(self, verdict: Verdict, trace: str) -> tuple[int, Headers, bytes]:
-        """Return status, headers and body of a final answer, which names the verdict."""
+        """Return status, headers and body of a final answer; a header names the verdict."""
         own: Headers = [[VERDICT, verdict_name(verdict).encode()]]
         if trace:
             own.append([TRACE, trace.encode()])
@@ -108,7 +108,7 @@
         if req["urgent"]:
             own.append([URGENT, b"1"])
         if req["key"]:
-            own.append([KEY, req["key"].encode("latin-1")])
+            own.append([IDEMPOTENCY_KEY, req["key"].encode("latin-1")])
         if customer := req.get("customer"):
             own.append([CUSTOMER, customer.encode("latin-1")])
         own.append([HOPS, b"%d" % (req["hops"] + 1)])
@@ -117,24 +117,24 @@
         return own + req["headers"]
 
     def result(self, status: int, head: HeadReader, body: bytes, call: StartCall) -> Result | None:
-        """Return what a whole answer means; every answer belongs to the call in hand."""
+        """Return the result of a complete answer, which always belongs to the call."""
         if status == 503 and NOT_RUN in head.values:
             return Shed(_retry_after(head.values))
         return Complete(status, head.forwarded_headers(), body)
 
     def sample_headers(self, instance: str, address: bytes) -> Headers:
-        """Return the headers of a question to the health path."""
+        """Return the headers of a request to the health path."""
         return [[b"Host", address]]
 
     def sample(self, status: int, head: HeadReader) -> Sample:
-        """Return nothing: upstreams that speak the product's own headers tell no pace."""
+        """Return an empty sample, as the default headers carry no pace."""
         return Sample(0)
 
     def is_leaving(self, head: HeadReader) -> bool:
         """Return whether an answer says that the upstream is leaving."""
-        return head.values.get(STATE) == b"leaving"
+        return head.values.get(UPSTREAM_STATE) == b"leaving"
 
 
-def _retry_after(said: dict[bytes, bytes]) -> float:
-    value = said.get(b"retry-after", b"")
+def _retry_after(values: dict[bytes, bytes]) -> float:
+    value = values.get(b"retry-after", b"")
     return float(value) if value.isdigit() else SHED_RETRY_S
--- a/foldhoist/daemon/handlers.py
+++ b/foldhoist/daemon/handlers.py
@@ -1,4 +1,4 @@
-"""What every daemon answers to those who watch it, on tornado: readiness and metrics."""
+"""HTTP handlers for readiness and metrics, and the server that runs them, on tornado."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
     from collections.abc import Callable
 
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-"""Content type of the metrics."""
+"""Content type of the Prometheus text format."""
 
 
 RouteSpec: TypeAlias = tuple[str, type[RequestHandler], dict[str, Any]]
-"""A path, what answers it, and what that is given."""
+"""A path pattern, its handler class and the arguments of the handler's `initialize`."""
 
 
 class ReadyHandler(RequestHandler):
-    """Answers 200 while the daemon takes callers, else 503."""
+    """Answers 200 while the daemon is ready for callers, else 503."""
 
     def initialize(self, is_ready: Callable[[], bool]) -> None:
-        """Take what knows it."""
+        """Store the readiness check."""
         self.is_ready = is_ready
 
     def get(self) -> None:
-        """Answer."""
+        """Answer with a status and no body."""
         self.set_status(200 if self.is_ready() else 503)
         self.finish()
 
@@ -36,24 +36,24 @@
     """Answers with counters, gauges and histograms as text."""
 
     def initialize(self, metrics: Callable[[], bytes]) -> None:
-        """Take what writes them."""
+        """Store the function that renders the metrics."""
         self.metrics = metrics
 
     def get(self) -> None:
-        """Answer."""
+        """Answer with the metrics."""
         self.set_header("Content-Type", METRICS_TYPE)
         self.finish(self.metrics())
 
 
 class ListeningServer(NamedTuple):
-    """A server with the address at which it listens, with the port that the system chose."""
+    """A server and its bound address, which has the port that the system chose for port 0."""
 
     server: HTTPServer
     address: str
 
 
 def listen(routes: list[RouteSpec], address: str) -> ListeningServer:
-    """Serve these paths at an address, IP:port; what is called is not logged."""
+    """Serve these routes at an address, IP:port; requests are not logged."""
     app = Application(list(routes), log_function=lambda handler: None)
     host, _, port = address.rpartition(":")
     sockets = bind_sockets(int(port), host.strip("[]"))
--- a/foldhoist/daemon/http.py
+++ b/foldhoist/daemon/http.py
@@ -1,4 +1,4 @@
-"""Heads of HTTP messages: what is passed on, what is added, how it is written."""
+"""Heads of HTTP messages: which headers are read or forwarded, and how heads are encoded."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
         b"upgrade",
     }
 )
-"""Headers that speak of one connection and are not passed on."""
+"""Headers of a single connection or of message framing; never forwarded."""
 HEADER_PREFIX = b"foldhoist-"
-"""Headers of this project; a caller's and an upstream's are not passed on."""
+"""Prefix of the headers of foldhoist; received ones are not forwarded."""
 
 VERDICT = b"Foldhoist-Verdict"
 REASON = b"Foldhoist-Reason"
@@ -34,47 +34,51 @@
 URGENT = b"foldhoist-urgent"
 HOPS = b"foldhoist-hops"
 RETRY = b"foldhoist-retry"
-ISSUED = b"foldhoist-key-issued-ms"
-KEY = b"idempotency-key"
+KEY_ISSUED = b"foldhoist-key-issued-ms"
+IDEMPOTENCY_KEY = b"idempotency-key"
 TRACEPARENT = b"traceparent"
 NOT_RUN = b"not-run"
-"""Header by which an upstream says that it did not run a call."""
-STATE = b"upstream-state"
-"""Header by which an upstream says that it is leaving."""
+"""Response header of an upstream that did not run the call."""
+UPSTREAM_STATE = b"upstream-state"
+"""Response header with which an upstream says that it is leaving."""
 
 _PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
 def status_line(status: int) -> bytes:
-    """Return the first line of an answer."""
+    """Return the status line of a response."""
     return b"HTTP/1.1 %d %s\r\n" % (status, _PHRASES.get(status, b"Status"))
 
 
-CREDENTIALS = b"authorization"
-"""Header by which a caller says whose call it is."""
+AUTHORIZATION = b"authorization"
+"""Request header with the API key of a caller."""
 CUSTOMER = b"Foldhoist-Customer"
-"""Header by which an upstream is told whose call it is."""
+"""Request header that names the customer to an upstream."""
 
-SPOKEN = frozenset({KEY, TRACEPARENT, b"host", NOT_RUN, STATE})
-"""Headers that foldhoist reads or writes anew at each hop."""
+CONSUMED = frozenset({IDEMPOTENCY_KEY, TRACEPARENT, b"host", NOT_RUN, UPSTREAM_STATE})
+"""Headers that foldhoist reads or sets again at each hop instead of forwarding them."""
 
 
 class HeadRules(NamedTuple):
-    """Headers that are read: `taken` and those with `prefix` end here, `noted` go on."""
+    """Lower-case names of the headers whose values are read.
+
+    `consumed` headers and those with `consumed_prefix` are not forwarded, `inspected` ones are. An
+    empty prefix matches no header.
+    """
 
     consumed: frozenset[bytes]
     inspected: frozenset[bytes]
     consumed_prefix: bytes
 
 
-DEFAULT_UPSTREAM_RULES = HeadRules(SPOKEN, frozenset({b"retry-after"}), HEADER_PREFIX)
-"""How the product's own interface reads heads."""
-DEFAULT_CALLER_RULES = HeadRules(SPOKEN | {CREDENTIALS}, frozenset(), HEADER_PREFIX)
-"""How it reads heads of callers."""
+DEFAULT_UPSTREAM_RULES = HeadRules(CONSUMED, frozenset({b"retry-after"}), HEADER_PREFIX)
+"""The default rules for answers of upstreams."""
+DEFAULT_CALLER_RULES = HeadRules(CONSUMED | {AUTHORIZATION}, frozenset(), HEADER_PREFIX)
+"""The default rules for requests of callers."""
 
 
 class HeadReader:
-    """Sorts the headers of one message as they come: to pass on, to read, or to drop."""
+    """Sorts the headers of one message into those to forward, to read and to drop."""
 
     __slots__ = ("_rules", "connection_options", "forwarded", "size", "values")
 
@@ -86,7 +90,7 @@
         self.size = 0
 
     def add(self, name: bytes, value: bytes) -> None:
-        """Take in a header; a header that is read and comes twice keeps both values."""
+        """Add a header; repeated values of a header that is read are joined with commas."""
         lower = name.lower()
         self.size += len(name) + len(value)
         if lower in HOP_BY_HOP:
@@ -96,28 +100,28 @@
                 self.values[lower] = value
             return
         rules = self._rules
-        taken = lower in rules.consumed or (
+        consumed = lower in rules.consumed or (
             rules.consumed_prefix and lower.startswith(rules.consumed_prefix)
         )
-        if taken or lower in rules.inspected:
+        if consumed or lower in rules.inspected:
             self.values[lower] = (
                 self.values[lower] + b", " + value if lower in self.values else value
             )
-        if taken:
+        if consumed:
             return
         self.forwarded.append([name, value])
 
     def forwarded_headers(self) -> Headers:
-        """Return the headers that go on, without those that a Connection header names."""
+        """Return the headers to forward, without those that a Connection header names."""
         drop = [name for name in self.connection_options if name not in (b"keep-alive", b"close")]
         if not drop:
             return self.forwarded
         return [pair for pair in self.forwarded if pair[0].lower() not in drop]
 
 
-def write_head(first: bytes, headers: Headers, length: int | None) -> bytes:
-    """Return first line, headers and content length as bytes."""
-    parts = [first]
+def write_head(start_line: bytes, headers: Headers, length: int | None) -> bytes:
+    """Return the encoded start line, headers and, unless `length` is None, content length."""
+    parts = [start_line]
     for name, value in headers:
         parts += (name, b": ", value, b"\r\n")
     if length is not None:
--- a/foldhoist/daemon/lost_calls.py
+++ b/foldhoist/daemon/lost_calls.py
@@ -1,4 +1,4 @@
-"""Calls whose connection to the upstream ended, and whether the upstream has ended with them."""
+"""Delays results of calls with a lost connection until the state of the upstream is known."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
     from foldhoist.daemon.upstream import UpstreamPool
     from foldhoist.delivery.dispatch import Incomplete
 
-GATHER_S = 0.002
-"""Wait after a connection was lost until the upstream is asked for, seconds.
+CHECK_DELAY_S = 0.002
+"""Delay from a lost connection to the check of the upstream, seconds.
 
-A process that ends loses all its connections at once; they were seen to fall within 1 ms.
+It lets a process that ends lose all its connections first.
 """
 
 
 class LostCall(NamedTuple):
-    """A call that was sent, and how its connection ended."""
+    """A sent call with a lost connection, and its result."""
 
     ticket: int
     result: Incomplete
 
 
 class LostCalls:
-    """Holds such calls back for some milliseconds, until it is known whether the upstream runs.
+    """Delays calls with a lost connection until it is known whether the upstream is running.
 
-    It runs if another connection to it stands, or if it takes a new one. `on_known` gets all calls
-    that were held back, and whether the upstream has ended.
+    It is running if a connection to it is open or if it accepts a new one. `on_known` receives the
+    delayed calls and whether the upstream has ended.
     """
 
     def __init__(
@@ -41,19 +41,19 @@
         self._task: asyncio.Task[None] | None = None
 
     def add(self, ticket: int, result: Incomplete) -> None:
-        """Take in a call whose connection ended before its answer was whole."""
+        """Add a call whose connection was lost before its answer was complete."""
         self._lost.append(LostCall(ticket, result))
         if self._task is None:
-            self._task = asyncio.get_running_loop().create_task(self._find_out())
+            self._task = asyncio.get_running_loop().create_task(self._check_upstream())
 
     def close(self) -> None:
-        """Stop; calls that are held back end with this process."""
+        """Cancel the check; the delayed calls get no result."""
         if self._task is not None:
             self._task.cancel()
 
-    async def _find_out(self) -> None:
-        await asyncio.sleep(GATHER_S)
-        runs = self._pool.has_connection or await self._pool.try_connect()
+    async def _check_upstream(self) -> None:
+        await asyncio.sleep(CHECK_DELAY_S)
+        running = self._pool.has_connection or await self._pool.try_connect()
         lost, self._lost = self._lost, []
         self._task = None
-        self._on_known(lost, not runs)
+        self._on_known(lost, not running)
--- a/foldhoist/daemon/ports.py
+++ b/foldhoist/daemon/ports.py
@@ -1,7 +1,7 @@
-"""What an adapter to a platform brings: settings, store, endpoints, headers.
+"""The interface of platform adapters: settings, store, endpoints and headers.
 
-An adapter is a package that the settings name. It knows the platform's words and nothing else:
-what is decided, remembered and recovered is the product's.
+An adapter is a package named in the settings. It only translates to and from the platform's
+protocols; decisions, state and recovery are left to the daemon.
 """
 
 from __future__ import annotations
@@ -24,65 +24,65 @@
 
 
 class StoreFault(NamedTuple):
-    """The store did not do what was asked; `sent` tells whether it may have been done."""
+    """A failed call to the store; `sent` says whether it may have taken effect."""
 
     what: str
     sent: bool
 
 
 class StoreData(NamedTuple):
-    """What the operator has written: a newer configuration, if any, and evacuations."""
+    """A newer configuration, None if there is none, and the stored evacuations."""
 
     version: Version | None
     evacuations: StoredEvacuations
 
 
 class Store(Protocol):
-    """The platform's store; every call costs, and may fail, hang or be done unanswered."""
+    """The platform's store; a call may fail, hang, or take effect without an answer."""
 
     async def newest(self, answer_s: float) -> Result[StoreData, StoreFault]:
         """Return the newest configuration, None if there is none yet, and all evacuations.
 
-        `answer_s` is the longest wait for an answer, seconds.
+        `answer_s` is the maximum wait for an answer, seconds.
         """
 
     async def poll(self, wait_ms: int, answer_s: float) -> Result[StoreData, StoreFault]:
-        """Wait for what is newer than what was returned last, if anything comes.
+        """Wait up to `wait_ms` for changes since the last result.
 
-        `answer_s` is the longest wait for an answer beyond `wait_ms`, seconds.
+        `answer_s` is the maximum wait for an answer beyond `wait_ms`, seconds.
         """
 
     async def register(self, registration: Registration) -> Result[None, StoreFault]:
-        """Write where this daemon listens; the newest record of a name counts."""
+        """Write this daemon's record; the newest record of a name counts."""
 
     passed_over: int
-    """Records that name no daemon, read until now."""
+    """Number of records read so far that name no daemon."""
 
     async def registrations(self) -> Result[list[Registration], StoreFault]:
-        """Return where all daemons listen; a record that names no daemon is passed over."""
+        """Return the records of all daemons; a record that names none is skipped."""
 
     def close(self) -> None:
         """Close every connection."""
 
 
 class AnnouncementHandler(Protocol):
-    """What endpoints hand on; an answer may be given when the call returns."""
+    """Receives announcements; an endpoint answers the upstream after the method returns."""
 
     async def on_announcement(self, announced: Announced) -> bool:
-        """Take in what the upstream says of itself; returns whether that names an upstream."""
+        """Handle an announcement; return False if its upstream is ready for an unknown service."""
 
     async def on_departure(self, instance: str, born_ms: int) -> bool:
-        """Take in that a life of the upstream is over; returns whether that is acknowledged.
+        """Handle the departure of an incarnation; return whether it is acknowledged.
 
-        `born_ms` is its start, milliseconds of wall clock, 0 if it names its id alone.
+        `born_ms` is its start, Unix milliseconds, 0 if only its id is given.
         """
 
     def on_invalid(self, fault: str) -> None:
-        """Count a word that names no upstream, and log it if there are not too many."""
+        """Count an invalid announcement and log it within a rate limit."""
 
 
 class Endpoints(Protocol):
-    """The servers that the platform calls; `addresses` has where they listen, by name."""
+    """The servers that the platform calls; `addresses` maps their names to IP:port."""
 
     addresses: dict[str, str]
 
@@ -91,15 +91,15 @@
 
 
 class Adapter(Protocol):
-    """One platform; made by the adapter package's `make_adapter(cfg)`."""
+    """The adapter of a platform, created by its package's `make_adapter(cfg)`."""
 
     dialect: Dialect
 
     def reload(self, cfg: Settings) -> None:
-        """Take over settings that have changed."""
+        """Apply changed settings."""
 
     def store(self) -> Store:
-        """Return the client of the platform's store."""
+        """Return a client of the platform's store."""
 
     def listen(
         self,
@@ -107,10 +107,10 @@
         is_ready: Callable[[], bool],
         metrics: Callable[[], bytes],
     ) -> Endpoints:
-        """Serve what the platform calls."""
+        """Start the servers that the platform calls."""
 
     def translate(self, version: Version) -> Result[Fleet, str]:
-        """Return the configuration in the product's terms, or why it cannot be used."""
+        """Return the configuration as a fleet, or the reason why it cannot be used."""
 
 
 def load_adapter(cfg: Settings) -> Adapter:
--- a/foldhoist/daemon/prober.py
+++ b/foldhoist/daemon/prober.py
@@ -1,4 +1,4 @@
-"""Asks the upstream's health endpoint and the platform's host list about this upstream only."""
+"""Polls the upstream's health endpoint and this daemon's state in the platform's host list."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
     from foldhoist.logservice.client import PlatformClient
     from foldhoist.schema.settings import Settings
 
-PROBE_S = 1.0
-"""Longest wait for the health endpoint, seconds."""
-DOWN_AFTER = 3
-"""Refused connections in a row from which on the upstream counts as down."""
+PROBE_TIMEOUT_S = 1.0
+"""Timeout of a probe, seconds."""
+DOWN_AFTER_REFUSALS = 3
+"""Refused connections since the last successful probe at which the upstream is down."""
 
 
 class Health(TypedDict, total=False):
-    """What a health endpoint may say; all of it may lag or mislead."""
+    """The fields of a health answer; they may be outdated or wrong."""
 
     state: str
 
 
 @dataclass(slots=True)
 class Counters:
-    """What the prober has counted."""
+    """Counters of the prober."""
 
     failed: int = 0
     host_errors: int = 0
@@ -40,7 +40,7 @@
 
 
 class Prober:
-    """Probes within the budget of measuring; every probe of this upstream is made here."""
+    """Probes the upstream within the rate limit `probes_per_s`."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
             self._tasks.append(loop.create_task(self._read_hosts()))
 
     def close(self) -> None:
-        """Stop."""
+        """Cancel both tasks and close the HTTP client."""
         for task in self._tasks:
             task.cancel()
         self._http.close()
@@ -88,21 +88,21 @@
         self.count.probes += 1
         cfg = self._cfg["upstream"]
         url = f"http://{cfg['address']}{cfg['health_path']}"
-        req = HTTPRequest(url, connect_timeout=PROBE_S, request_timeout=PROBE_S)
+        req = HTTPRequest(url, connect_timeout=PROBE_TIMEOUT_S, request_timeout=PROBE_TIMEOUT_S)
         try:
             answer = await self._http.fetch(req)
             health = msgspec.json.decode(answer.body, type=Health)
         except ConnectionRefusedError:
             self.count.failed += 1
             self._refused += 1
-            if self._refused == DOWN_AFTER:
+            if self._refused == DOWN_AFTER_REFUSALS:
                 self._on_state("down")
             return
         except (HTTPClientError, OSError, msgspec.DecodeError):
             self.count.failed += 1
             return
         self._refused = 0
-        self._on_state(_known(health.get("state", "warm")))
+        self._on_state(_known_state(health.get("state", "warm")))
 
     async def _read_hosts(self) -> None:
         poll_s = self._cfg["platform"]["hosts_poll_ms"] / 1000
@@ -116,5 +116,5 @@
             await asyncio.sleep(poll_s)
 
 
-def _known(state: str) -> str:
+def _known_state(state: str) -> str:
     return state if state in ("cold", "warm", "shedding", "leaving") else "warm"
--- a/foldhoist/daemon/sampler.py
+++ b/foldhoist/daemon/sampler.py
@@ -1,7 +1,6 @@
-"""Asks the upstream beside this daemon how it is now, on its health path: its pace, and if cold.
+"""Samples the upstream's pace, and whether it is cold, from its health path.
 
-Nothing else is taken from the health endpoint: whether an upstream is well is judged by what it
-does with calls.
+The health itself is not sampled; it is judged by the results of calls.
 """
 
 from __future__ import annotations
@@ -22,20 +21,20 @@
     from foldhoist.delivery.dispatch import Sample
     from foldhoist.routing.sampling import SamplePlan
 
-ANSWER_S = 0.1
-"""Longest wait for a sample, seconds: a later one tells of a pace that may be over."""
+SAMPLE_TIMEOUT_S = 0.1
+"""Timeout for connecting and for an answer, seconds; a later sample could be outdated."""
 
 
 @dataclass(slots=True)
 class Counters:
-    """What the sampler has counted."""
+    """Counters of the sampler."""
 
     failed: int = 0
     samples: int = 0
 
 
 class _SampleConnection(asyncio.Protocol):
-    """A kept connection to the health endpoint; one question at a time."""
+    """A persistent connection to the health endpoint; one request at a time."""
 
     def __init__(self, dialect: Dialect) -> None:
         self._dialect = dialect
@@ -44,28 +43,31 @@
 
     @property
     def usable(self) -> bool:
-        """Return whether a question may be sent."""
+        """Return whether a request may be sent."""
         return self._transport is not None and not self._transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the question in hand."""
+        """Fail the running request."""
         self._transport = None
         self._fail("health connection lost")
 
-    async def ask(self, data: bytes) -> Sample:
-        """Return what the answer tells."""
+    async def request(self, data: bytes) -> Sample:
+        """Send a request and return the sample in its answer.
+
+        Raises ConnectionError or TimeoutError.
+        """
         if self._transport is None:
             raise ConnectionError("health connection lost")
         self._head = HeadReader(self._dialect.upstream_rules)
         self._parser = httptools.HttpResponseParser(self)
         self._answer = asyncio.get_running_loop().create_future()
         self._transport.write(data)
-        async with asyncio.timeout(ANSWER_S):
+        async with asyncio.timeout(SAMPLE_TIMEOUT_S):
             return await self._answer
 
     def close(self) -> None:
@@ -74,7 +76,7 @@
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parse the answer; bytes that nobody asked for end the connection."""
+        """Parse the answer; bytes without a request close the connection."""
         if self._answer is None or self._answer.done():
             self.close()
             return
@@ -87,11 +89,11 @@
     # httptools
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take in a header."""
+        """Record a header."""
         self._head.add(name, value)
 
     def on_message_complete(self) -> None:
-        """Tell what it says, whatever the status says of health."""
+        """End the request with the sample in the answer; the dialect gets the status, too."""
         if self._answer is not None and not self._answer.done():
             status = self._parser.get_status_code()
             self._answer.set_result(self._dialect.sample(status, self._head))
@@ -104,7 +106,7 @@
 
 
 class Sampler:
-    """Takes samples when its plan says so and hands on the pace that they tell."""
+    """Takes samples when its plan says so and passes their results to `on_sample`."""
 
     def __init__(
         self,
@@ -120,9 +122,9 @@
         self._address = address
         self._dialect = dialect
         self._on_sample = on_sample
-        self._asked = False
+        self._requested = False
         self._conn: _SampleConnection | None = None
-        self._wanted = asyncio.Event()
+        self._wake = asyncio.Event()
         self._loop = asyncio.get_running_loop()
         self._task: asyncio.Task[None] | None = None
         self._failing = False
@@ -132,43 +134,43 @@
         self._task = self._loop.create_task(self._run())
 
     def close(self) -> None:
-        """Stop."""
+        """Stop sampling and close the connection."""
         if self._task is not None:
             self._task.cancel()
-        self._drop()
+        self._disconnect()
 
     def record_call(self) -> None:
-        """Take in that a call came for the upstream."""
+        """Record a call for the upstream."""
         now = self._loop.time()
         self._plan.record_call(now)
-        if not self._wanted.is_set() and self._plan.next_at(now) is not None:
-            self._wanted.set()
+        if not self._wake.is_set() and self._plan.next_at(now) is not None:
+            self._wake.set()
 
     def request_sample(self) -> None:
-        """Take a sample soon, whatever calls there are: the upstream may have turned cold."""
-        self._asked = True
-        self._wanted.set()
+        """Take a sample soon regardless of the plan, as the upstream may have become cold."""
+        self._requested = True
+        self._wake.set()
 
     def record_pace(self, pace: int) -> None:
-        """Take in the pace that came with an answer."""
+        """Record the pace of an answer, percent."""
         self._plan.record_pace(self._loop.time(), pace)
 
     @property
     def pace_sampled(self) -> bool:
-        """Return whether changes of the pace are seen soon."""
+        """Return whether the pace is being sampled and sampling does not fail."""
         return self._plan.next_at(self._loop.time()) is not None and not self._failing
 
     async def _run(self) -> None:
         while True:
             now = self._loop.time()
             at = self._plan.next_at(now)
-            if self._asked:
-                self._asked = False
+            if self._requested:
+                self._requested = False
                 await self._sample()
             elif at is None:
-                self._wanted.clear()
-                self._drop()
-                await self._wanted.wait()
+                self._wake.clear()
+                self._disconnect()
+                await self._wake.wait()
             elif at > now:
                 await asyncio.sleep(at - now)
             else:
@@ -177,10 +179,10 @@
     async def _sample(self) -> None:
         self.count.samples += 1
         try:
-            sample = await self._ask()
+            sample = await self._request()
         except (OSError, TimeoutError) as exc:
             self.count.failed += 1
-            self._drop()
+            self._disconnect()
             self._plan.record_failure(self._loop.time())
             if not self._failing:
                 logger.info("pace of the upstream cannot be sampled: {!r}", exc)
@@ -196,18 +198,18 @@
         self._failing = False
         self._plan.record_pace(self._loop.time(), sample.pace)
 
-    async def _ask(self) -> Sample:
+    async def _request(self) -> Sample:
         if self._conn is None or not self._conn.usable:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(SAMPLE_TIMEOUT_S):
                 _, self._conn = await self._loop.create_connection(
                     lambda: _SampleConnection(self._dialect), *self._address
                 )
-        first = f"GET {self.path} HTTP/1.1\r\n".encode("latin-1")
+        request_line = f"GET {self.path} HTTP/1.1\r\n".encode("latin-1")
         host = "{}:{}".format(*self._address).encode()
         headers = self._dialect.sample_headers(self.instance, host)
-        return await self._conn.ask(write_head(first, headers, None))
+        return await self._conn.request(write_head(request_line, headers, None))
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         if self._conn is not None:
             self._conn.close()
             self._conn = None
--- a/tests/unit/daemon/calls.py
+++ b/tests/unit/daemon/calls.py
@@ -1,4 +1,4 @@
-"""Calls as tests of the daemon's parts send them."""
+"""Calls and message heads for tests of the daemon."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     repeatable: bool = True,
     body: bytes = b"",
 ) -> Dispatch:
-    """Return a call as an ingress hands it to an owner."""
+    """Return a call as an ingress sends it to an owner."""
     return {
         "seq": 1,
         "acked": 1,
@@ -41,7 +41,7 @@
 
 
 def head_of(rules: HeadRules, fields: dict[bytes, bytes]) -> HeadReader:
-    """Return a head of these fields as it is read by the rules of its sender."""
+    """Return a head with these fields, read by `rules`."""
     reader = HeadReader(rules)
     for name, value in fields.items():
         reader.add(name, value)
