--- a/foldhoist/daemon/operators.py
+++ b/foldhoist/daemon/operators.py
@@ -40,8 +40,8 @@
 class _Records(_Handler):
     def get(self) -> None:
         after = int(self.get_query_argument("after", "0"))
-        number, records = self.daemon.records.since(after)
-        self.give({"number": number, "records": [record_report(each) for each in records]})
+        number, latest = self.daemon.records.since(after)
+        self.give({"number": number, "records": [record_report(each) for each in latest]})
 
 
 class _Explain(_Handler):
