--- a/foldhoist/daemon/ingress_task.py
+++ b/foldhoist/daemon/ingress_task.py
@@ -44,7 +44,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._loop = asyncio.get_running_loop()
 
-    def connect(self, name: str, links: Links, owner_task: OwnerTask) -> None:
+    def attach(self, name: str, links: Links, owner_task: OwnerTask) -> None:
         """Set the owner of this process, and the links to other owners."""
         self._name = name
         self._links = links
@@ -59,7 +59,7 @@
         call_id = self._next_call
         self._next_call += 1
         self._callers[call_id] = conn
-        conn.begin(call_id)
+        conn.set_call_id(call_id)
         tickets = self._owner_task.owner.tickets
         req = req._replace(parent_rank=tickets.most_common_rank, parent_repeat=tickets.repeat_share)
         self._carry_out(self.ingress.arrive(self._loop.time(), call_id, req))
