--- a/foldhoist/daemon/ingress_task.py
+++ b/foldhoist/daemon/ingress_task.py
@@ -1,4 +1,4 @@
-"""Runs the ingress object: gives it requests and frames, carries out its actions."""
+"""Runs the ingress: passes requests and messages to it, and carries out its actions."""
 
 from __future__ import annotations
 
@@ -18,20 +18,24 @@
     from foldhoist.delivery.call import Action, CallerRequest, Record
     from foldhoist.delivery.ingress import Ingress
     from foldhoist.observe.latencies import Latencies
-    from foldhoist.observe.records import Ring
-    from foldhoist.observe.spans import Spans
+    from foldhoist.observe.records import RecordBuffer
+    from foldhoist.observe.spans import SpanExporter
     from foldhoist.routing.picker import Member
     from foldhoist.schema.fleet import Fleet
 
 
 class IngressTask:
-    """The ingress role of a daemon."""
+    """The ingress role of a daemon: carries out the actions that the ingress returns."""
 
     def __init__(
-        self, ingress: Ingress, ring: Ring, latencies: Latencies, spans: Spans | None
+        self,
+        ingress: Ingress,
+        records: RecordBuffer,
+        latencies: Latencies,
+        spans: SpanExporter | None,
     ) -> None:
         self.ingress = ingress
-        self._ring = ring
+        self._records = records
         self._latencies = latencies
         self._spans = spans
         self.on_ended: Callable[[Record], None] | None = None
@@ -40,34 +44,34 @@
         self._timer: asyncio.TimerHandle | None = None
         self._loop = asyncio.get_running_loop()
 
-    def connect(self, name: str, links: Links, owner_task: OwnerTask) -> None:
-        """Set where frames go: to the owner in this process, or over links."""
+    def attach(self, name: str, links: Links, owner_task: OwnerTask) -> None:
+        """Set the owner of this process, and the links to other owners."""
         self._name = name
         self._links = links
         self._owner_task = owner_task
 
     def now(self) -> float:
-        """Return the monotonic clock that the ingress object is given, seconds."""
+        """Return the time that the ingress is given, monotonic seconds."""
         return self._loop.time()
 
     def arrive(self, conn: CallerConnection, req: CallerRequest) -> None:
-        """Take in a request."""
+        """Handle a request of a caller."""
         call_id = self._next_call
         self._next_call += 1
         self._callers[call_id] = conn
-        conn.begin(call_id)
+        conn.set_call_id(call_id)
         tickets = self._owner_task.owner.tickets
         req = req._replace(parent_rank=tickets.most_common_rank, parent_repeat=tickets.repeat_share)
         self._carry_out(self.ingress.arrive(self._loop.time(), call_id, req))
 
-    def gone(self, call_id: int) -> None:
-        """Take in that a caller left before its answer."""
+    def caller_disconnected(self, call_id: int) -> None:
+        """Handle a caller that disconnected before its answer."""
         if self._callers.pop(call_id, None) is None:
             return
         self._carry_out(self.ingress.caller_disconnected(self._loop.time(), call_id))
 
     def message(self, target: str, kind: str, body: Any) -> None:
-        """Take in a frame of an owner."""
+        """Handle a message of an owner."""
         now = self._loop.time()
         match kind:
             case "Answer":
@@ -84,15 +88,15 @@
                 self._owner_task.learn_crashes(body["suspects"])
 
     def link_up(self, target: str, incarnation: str) -> None:
-        """Take in a new connection to an owner."""
+        """Handle a new connection to an owner."""
         self._carry_out(self.ingress.link_up(self._loop.time(), target, incarnation))
 
     def link_lost(self, target: str) -> None:
-        """Take in that a connection fell."""
+        """Handle a lost connection to an owner."""
         self._carry_out(self.ingress.link_lost(self._loop.time(), target))
 
     def link_refused(self, target: str) -> None:
-        """Take in that an owner's process is gone."""
+        """Handle a refused connection: the process of the owner is not running."""
         self._carry_out(self.ingress.link_refused(self._loop.time(), target))
 
     def adopt(
@@ -103,16 +107,16 @@
         homes: Mapping[str, tuple[str, ...]],
         daemons: int = 1,
     ) -> None:
-        """Take over a configuration."""
+        """Adopt a configuration."""
         now = self._loop.time()
         self._carry_out(self.ingress.adopt(now, generation, fleet, tracked, homes, daemons))
 
     def track(self, tracked: dict[str, list[Member]], daemons: int) -> None:
-        """Take over the upstreams to choose from."""
+        """Set the upstreams to choose from."""
         self._carry_out(self.ingress.track(self._loop.time(), tracked, daemons))
 
     def local_up(self, incarnation: str) -> None:
-        """Connect to the owner in this process, which cannot be lost."""
+        """Connect to the owner of this process; this connection cannot be lost."""
         self._owner_task.local_hello()
         self.link_up(self._name, incarnation)
 
@@ -125,9 +129,9 @@
                     conn = self._callers.pop(call_id, None)
                     if conn is not None:
                         conn.answer(verdict, trace_id(record.trace))
-                    self._ended(record)
+                    self._record_call(record)
                 case Connect(targets):
-                    self._links.want(name for name in targets if name != self._name)
+                    self._links.connect(name for name in targets if name != self._name)
         self._set_timer()
 
     def _send(self, target: str, kind: str, body: Any) -> None:
@@ -136,8 +140,8 @@
             return
         self._links.send(target, kind, body)
 
-    def _ended(self, record: Record) -> None:
-        self._ring.add_call(record)
+    def _record_call(self, record: Record) -> None:
+        self._records.add_call(record)
         if self.on_ended is not None:
             self.on_ended(record)
         total_us = (record.ended - record.arrived) * 1e6
@@ -145,7 +149,7 @@
         if record.verdict == "answered" and len(record.attempts) == 1:
             self._latencies.record("added", total_us - record.attempts[0].served_us)
         if self._spans is not None:
-            self._spans.call(record, time.time(), self._loop.time())
+            self._spans.export_call(record, time.time(), self._loop.time())
 
     def _set_timer(self) -> None:
         at = self.ingress.next_at()
--- a/foldhoist/daemon/figures.py
+++ b/foldhoist/daemon/traffic_metrics.py
@@ -1,4 +1,4 @@
-"""What both kinds of daemon count and show of the calls that pass through them."""
+"""Counters and gauges of the calls through a daemon, the same for both kinds of daemon."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 from foldhoist.observe.counters import counters_of
 
 if TYPE_CHECKING:
-    from foldhoist.daemon.callers import Shared
+    from foldhoist.daemon.callers import ServerState
     from foldhoist.daemon.ingress_task import IngressTask
     from foldhoist.daemon.links import Links
     from foldhoist.daemon.owner_task import OwnerTask
 
 
 def traffic_counters(
-    ingress_task: IngressTask, owner_task: OwnerTask, shared: Shared
+    ingress_task: IngressTask, owner_task: OwnerTask, callers: ServerState
 ) -> dict[str, dict[str, int]]:
-    """Return the counters of calls, by part."""
+    """Return the counters of calls by component."""
     return {
         "ingress": counters_of(ingress_task.ingress.count),
         "owner": counters_of(owner_task.owner.count),
         "sampler": counters_of(owner_task.sampler.count),
-        "callers": counters_of(shared.count),
+        "callers": counters_of(callers.count),
     }
 
 
 def traffic_gauges(
-    ingress_task: IngressTask, owner_task: OwnerTask, shared: Shared, links: Links
+    ingress_task: IngressTask, owner_task: OwnerTask, callers: ServerState, links: Links
 ) -> dict[str, float]:
-    """Return what rises and falls with calls."""
+    """Return the gauges of calls and connections."""
     owner = owner_task.owner
     return {
         "ingress_calls": ingress_task.ingress.calls,
         "owner_busy": owner.queue.busy,
         "owner_queued": owner.queue.queued,
-        "links": len(links.open()),
-        "caller_connections": len(shared.open),
+        "links": len(links.connected()),
+        "caller_connections": len(callers.open),
         "upstream_connections": owner_task.pool.open,
         "leaving": float(owner.leaving),
     }
--- a/foldhoist/logservice/state.py
+++ b/foldhoist/logservice/state.py
@@ -1,4 +1,4 @@
-"""Reads the whole log of a stream and folds it."""
+"""Reads all records that a log retains and folds them into a state."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
     from foldhoist.logservice.client import PlatformClient, PlatformError
 
 
-class Kept(NamedTuple):
-    """All records of ours that a log keeps, its oldest offset and the next to be written."""
+class RetainedRecords(NamedTuple):
+    """The valid records that a log retains, its oldest offset and the next to be written."""
 
     records: list[LogRecord]
     oldest: int
     end: int
 
     def state(self) -> State:
-        """Return what the records add up to."""
+        """Return the state after folding the records."""
         state = fold_all(self.records, self.oldest)
         return state._replace(folded=max(state.folded, self.end))
 
 
-async def read_kept(client: PlatformClient) -> Result[Kept, PlatformError]:
-    """Return everything that the log keeps."""
+async def read_retained(client: PlatformClient) -> Result[RetainedRecords, PlatformError]:
+    """Return all valid records that the log retains."""
     records: list[LogRecord] = []
     offset, oldest = 0, -1
     while True:
@@ -42,12 +42,12 @@
             if record is not None:
                 records.append(record)
         if not page["records"]:
-            return Ok(Kept(records, oldest, offset))
+            return Ok(RetainedRecords(records, oldest, offset))
 
 
 async def read_state(client: PlatformClient) -> Result[State, PlatformError]:
-    """Return what the records that the log keeps add up to."""
-    answer = await read_kept(client)
+    """Return the state after folding all records that the log retains."""
+    answer = await read_retained(client)
     if answer.is_error():
         return Error(answer.error)
     return Ok(answer.ok.state())
--- a/foldhoist/observe/exporting.py
+++ b/foldhoist/observe/exporting.py
@@ -1,19 +1,21 @@
-"""Whether spans are exported; the libraries for that are loaded only if they are."""
+"""Creates the span exporter; its libraries are imported only if spans are exported."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from foldhoist.observe.spans import Spans
+    from foldhoist.observe.spans import SpanExporter
     from foldhoist.schema.settings import Settings
 
 
-def spans_of(cfg: Settings) -> Spans | None:
-    """Return what exports spans, None if the settings name no address for them."""
+def make_span_exporter(cfg: Settings) -> SpanExporter | None:
+    """Return a span exporter, or None if the settings give no address to export to."""
     daemon, observe = cfg["daemon"], cfg["observe"]
     if not observe["otlp"]:
         return None
-    from foldhoist.observe.spans import Spans
+    from foldhoist.observe.spans import SpanExporter
 
-    return Spans(daemon["name"], daemon["data_centre"], observe["otlp"], observe["trace_share"])
+    return SpanExporter(
+        daemon["name"], daemon["data_centre"], observe["otlp"], observe["trace_share"]
+    )
--- a/foldhoist/observe/metrics.py
+++ b/foldhoist/observe/metrics.py
@@ -1,4 +1,4 @@
-"""All counters and histograms in the text format of the usual metrics systems."""
+"""Exports counters, gauges and latencies in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from prometheus_client.exposition import generate_latest
 from prometheus_client.registry import CollectorRegistry
 
-from foldhoist.observe.latencies import QUANTILES, Latencies
+from foldhoist.observe.latencies import PERCENTILES, Latencies
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
 
 class Metrics:
-    """Reads counters and gauges at the moment they are asked for; counting costs nothing more."""
+    """Collector that reads the daemon's counters and gauges each time metrics are requested."""
 
     def __init__(
         self,
@@ -30,11 +30,11 @@
         self._registry.register(self)
 
     def text(self) -> bytes:
-        """Return everything in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def collect(self) -> Iterable[Any]:
-        """Give every family; called by the registry."""
+        """Yield all metric families; called by the registry."""
         for part, counters in self._counters().items():
             for name, value in counters.items():
                 family = CounterMetricFamily(f"foldhoist_{part}_{name}", f"{part}: {name}")
@@ -49,7 +49,7 @@
 def _summary(name: str, entry: dict[str, float]) -> SummaryMetricFamily:
     family = SummaryMetricFamily(f"foldhoist_{name}_seconds", f"latency of {name}")
     family.add_metric([], count_value=int(entry["count"]), sum_value=0)
-    for quantile in QUANTILES:
+    for quantile in PERCENTILES:
         labels = {"quantile": f"{quantile / 100:g}"}
         family.add_sample(f"foldhoist_{name}_seconds", labels, entry[f"p{quantile:g}"] / 1e6)
     return family
