--- a/foldhoist/commands/daemon.py
+++ b/foldhoist/commands/daemon.py
@@ -33,19 +33,19 @@
     return run_daemon(settings, LAUNCH_TIME_S)
 
 
-def run_daemon(settings: str, launched_s: float) -> int:
-    """Run one daemon and return the exit code; `launched_s` is a monotonic time in seconds."""
+def run_daemon(settings: str, began: float) -> int:
+    """Run one daemon and return the exit code; `began` is its launch time, monotonic seconds."""
     loaded = load_settings(settings)
     if loaded.is_error():
         print_faults(loaded.error, as_json=False)
         return EXIT_FAULTS
     cfg = loaded.ok
     set_up_logs(cfg["observe"], cfg["daemon"]["name"])
-    return asyncio.run(_run(cfg, settings, launched_s))
+    return asyncio.run(_run(cfg, settings, began))
 
 
-async def _run(cfg: Settings, path: str, launched_s: float) -> int:
-    running = _make(cfg, launched_s)
+async def _run(cfg: Settings, path: str, began: float) -> int:
+    running = _make(cfg, began)
     try:
         await running.start()
     except OSError as exc:
@@ -73,12 +73,12 @@
     running.reload(loaded.ok)
 
 
-def _make(cfg: Settings, launched_s: float) -> Daemon | MeshDaemon:
+def _make(cfg: Settings, began: float) -> Daemon | MeshDaemon:
     """Return the daemon that the settings require; imports only the modules of its kind."""
     if cfg["platform"]["adapter"]:
         from foldhoist.daemon.mesh import MeshDaemon
 
-        return MeshDaemon(cfg, began=launched_s)
+        return MeshDaemon(cfg, began=began)
     from foldhoist.daemon.daemon import Daemon
 
     return Daemon(cfg)
--- a/foldhoist/config/reload.py
+++ b/foldhoist/config/reload.py
@@ -28,29 +28,29 @@
 
 
 class ReloadResult(NamedTuple):
-    """Settings to use from now on, options applied, and options that need a restart."""
+    """Settings to use from now on, options `applied`, and options `left` for a restart."""
 
     cfg: Settings
     applied: list[str]
-    restart_required: list[str]
+    left: list[str]
 
 
 def merge_reloadable(before: Settings, after: Settings, reloadable: Container[str]) -> ReloadResult:
     """Merge the changed options that are in `reloadable`; options are named `[section] option`."""
     merged: dict[str, dict[str, Any]] = {}
     applied: list[str] = []
-    restart_required: list[str] = []
+    left: list[str] = []
     old, new = _sections(before), _sections(after)
     for section, options in new.items():
         merged[section] = dict(old[section])
         for option in changed_options(old[section], options):
             name = f"[{section}] {option}"
             if name not in reloadable:
-                restart_required.append(name)
+                left.append(name)
                 continue
             applied.append(name)
             merged[section][option] = options[option]
-    return ReloadResult(cast("Settings", merged), applied, restart_required)
+    return ReloadResult(cast("Settings", merged), applied, left)
 
 
 def _sections(cfg: Settings) -> dict[str, dict[str, Any]]:
--- a/foldhoist/observe/logs.py
+++ b/foldhoist/observe/logs.py
@@ -75,7 +75,7 @@
 def log_reload(found: ReloadResult) -> None:
     """Tell what was taken over of settings that were read again, and what was not."""
     logger.info("settings read again, changed: {}", ", ".join(found.applied) or "nothing")
-    for name in found.restart_required:
+    for name in found.left:
         logger.warning("{} has changed: restart the daemon for it", name)
 
 
--- a/tests/unit/config/test_reload.py
+++ b/tests/unit/config/test_reload.py
@@ -16,7 +16,7 @@
     after["listen"]["callers"] = "127.0.0.1:9"
     result = merge_reloadable(before, after, RELOADABLE_LIMITS)
     assert result.applied == ["[limits] calls"]
-    assert result.restart_required == ["[listen] callers", "[limits] body_bytes"]
+    assert result.left == ["[listen] callers", "[limits] body_bytes"]
     assert result.cfg["limits"]["calls"] == 7
     assert result.cfg["limits"]["body_bytes"] == before["limits"]["body_bytes"]
     assert result.cfg["listen"] == before["listen"]
@@ -27,9 +27,7 @@
     after = copy.deepcopy(before)
     after["limits"]["body_bytes"] = 9
     first = merge_reloadable(before, after, RELOADABLE_LIMITS)
-    assert merge_reloadable(first.cfg, after, RELOADABLE_LIMITS).restart_required == [
-        "[limits] body_bytes"
-    ]
+    assert merge_reloadable(first.cfg, after, RELOADABLE_LIMITS).left == ["[limits] body_bytes"]
 
 
 def test_equal_settings_change_nothing() -> None:
