--- a/foldhoist/commands/fetch.py
+++ b/foldhoist/commands/fetch.py
@@ -16,7 +16,7 @@
 
 
 async def fetch_json(address: str, path: str, method: str = "GET") -> Any:
-    """Return the JSON answer of a daemon; raises UnreachableError if there is none or an error."""
+    """Return a daemon's JSON answer; raises UnreachableError for none or for an error status."""
     body = b"" if method == "POST" else None
     url = f"http://{address}{path}"
     req = HTTPRequest(
