--- a/soak/processes.py
+++ b/soak/processes.py
@@ -9,7 +9,7 @@
 import sys
 from typing import TYPE_CHECKING
 
-from standins.ports import lasting_address
+from standins.ports import reusable_address
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -53,7 +53,7 @@
         self.upstream = upstream
         self.log = log
         self.folder = folder
-        self.addresses = {name: lasting_address() for name in PORTS}
+        self.addresses = {name: reusable_address() for name in PORTS}
         self.process: asyncio.subprocess.Process | None = None
         self.first = True
 
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -1,4 +1,4 @@
-"""Addresses that a process can leave and take again."""
+"""Loopback addresses that a restarted process can bind again."""
 
 from __future__ import annotations
 
@@ -6,34 +6,35 @@
 import socket
 from pathlib import Path
 
-LEAST_PORT = 10_240
-"""Ports below are left to others."""
-OUTGOING = Path("/proc/sys/net/ipv4/ip_local_port_range")
-"""Where the system says from which ports outgoing connections get theirs."""
-LEAST_OUTGOING = 32_768
-"""The least of these if it does not say."""
-TRIES = 100
-"""Ports that are tried before it is given up."""
+MIN_PORT = 10_240
+"""Lowest port that is handed out."""
+PORT_RANGE_FILE = Path("/proc/sys/net/ipv4/ip_local_port_range")
+"""Range of the ephemeral ports, which Linux gives to outgoing connections."""
+DEFAULT_FIRST_EPHEMERAL = 32_768
+"""First ephemeral port where that file cannot be read."""
+MAX_TRIES = 100
+"""Ports tried before an error is raised."""
 
 
-def lasting_address() -> str:
-    """Return a free address on this machine, for a process that ends and starts again there.
+def reusable_address() -> str:
+    """Return a free loopback address that a process can bind again after a restart.
 
-    Of the ports that the system chooses, any outgoing connection may get one meanwhile.
+    The port lies below the ephemeral range: an outgoing connection could take an ephemeral port
+    while the process is down. Raises RuntimeError if no free port is found.
     """
-    chance = random.SystemRandom()
-    for _ in range(TRIES):
-        port = chance.randrange(LEAST_PORT, _least_outgoing())
+    rng = random.SystemRandom()
+    for _ in range(MAX_TRIES):
+        port = rng.randrange(MIN_PORT, _first_ephemeral_port())
         if _is_free(port):
             return f"127.0.0.1:{port}"
-    raise RuntimeError(f"no free port among {TRIES} tried from {LEAST_PORT} on")
+    raise RuntimeError(f"no free port found from {MIN_PORT} on in {MAX_TRIES} tries")
 
 
-def _least_outgoing() -> int:
+def _first_ephemeral_port() -> int:
     try:
-        return int(OUTGOING.read_text().split()[0])
+        return int(PORT_RANGE_FILE.read_text().split()[0])
     except OSError:
-        return LEAST_OUTGOING
+        return DEFAULT_FIRST_EPHEMERAL
 
 
 def _is_free(port: int) -> bool:
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from standins.ports import lasting_address
+from standins.ports import reusable_address
 
 START_S = 60.0
 """Longest wait for a process to say that it listens, seconds."""
@@ -142,7 +142,7 @@
     def launch_upstream(self, name: str) -> Process:
         """Start one upstream; it listens where it listened before, if it did."""
         target = self.targets[name]
-        listen = self.upstream_address.get(name) or lasting_address()
+        listen = self.upstream_address.get(name) or reusable_address()
         args = ["standins.upstream", "--listen", listen]
         args += ["--service-ms", str(target.service_ms), "--spread", str(target.spread)]
         args += ["--journal", str(self.folder / f"{name}.journal")]
@@ -165,7 +165,7 @@
     def settings_of(self, name: str) -> str:
         """Return the settings of a daemon."""
         known = self.addresses.get(name, {})
-        listen = {key: known.get(key) or lasting_address() for key in LISTEN}
+        listen = {key: known.get(key) or reusable_address() for key in LISTEN}
         lines = "\n".join(f"{key} = {value}" for key, value in listen.items())
         seeds = ", ".join(
             found["control"] for other, found in self.addresses.items() if other != name
--- a/tests/adapter/cluster.py
+++ b/tests/adapter/cluster.py
@@ -10,7 +10,7 @@
 
 from foldhoist.config.settings import parse_settings
 from foldhoist.daemon.mesh import MeshDaemon
-from standins.ports import lasting_address
+from standins.ports import reusable_address
 from tests.adapter.keyed_log import KeyedLog
 from tests.adapter.target import FakeTarget
 
@@ -98,8 +98,8 @@
         text = SETTINGS.format(
             name=name,
             data_centre=self.places[name],
-            callers=_port(addresses.get("callers") or lasting_address()),
-            frames=_port(addresses.get("frames") or lasting_address()),
+            callers=_port(addresses.get("callers") or reusable_address()),
+            frames=_port(addresses.get("frames") or reusable_address()),
             address=target.address,
             service=target.service,
             log=self.log.door(name).address,
--- a/tests/adapter/target.py
+++ b/tests/adapter/target.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING, NamedTuple
 
-from standins.ports import lasting_address
+from standins.ports import reusable_address
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -51,7 +51,7 @@
 
     async def start(self) -> None:
         """Listen where it can listen again later."""
-        await self._listen(int(lasting_address().rpartition(":")[2]))
+        await self._listen(int(reusable_address().rpartition(":")[2]))
         self.address = "{}:{}".format(*self._server.sockets[0].getsockname()[:2])
 
     async def revive(self, instance: str) -> None:
