--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,5 +1,5 @@
-"""A randomized soak: real daemons as processes, faults from outside, and a judge of what was seen.
+"""A randomized soak test: daemon processes under load, injected faults, and a check of the history.
 
-Faults and their times follow from a seed. The judge compares only what callers and upstreams have
-noted, never what a daemon says of itself.
+Faults and their times follow from a seed. The check uses only what callers and upstreams recorded,
+never what a daemon reports about itself.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -11,56 +11,59 @@
 
 import defopt
 
-from soak.judge import broken
-from soak.schedule import draw
-from soak.world import World
+from soak.checker import find_violations
+from soak.run import SoakRun
+from soak.schedule import draw_faults
 
 if TYPE_CHECKING:
-    from soak.notes import Broken, Notes
+    from soak.history import History, Violation
 
-SHOWN = 5
-"""Broken promises of a seed that are printed."""
+MAX_SHOWN = 5
+"""Violations printed for each seed."""
 
 
-async def play(seed: int, processes: int, seconds: float, folder: Path) -> Notes:
-    """Play one seed; the daemons' logs stay in the folder."""
+async def run_seed(seed: int, processes: int, seconds: float, folder: Path) -> History:
+    """Run one seed; the folder keeps the daemons' settings and logs."""
     daemons = [f"d{number}" for number in range(processes)]
-    world = World(seed, processes, folder)
-    return await world.play(draw(seed, daemons, seconds), seconds)
+    run = SoakRun(seed, processes, folder)
+    return await run.execute(draw_faults(seed, daemons, seconds), seconds)
 
 
 def soak(*, seeds: int = 1, first: int = 1, processes: int = 6, seconds: float = 15.0) -> int:
-    """Play seeds one after the other and print what was broken.
+    """Run seeds one after the other and print the promises that were broken.
 
-    :param seeds: Seeds to play.
-    :param first: The first of them; the others follow.
-    :param processes: Daemons of each play.
-    :param seconds: Time of each play in which faults are injected.
+    :param seeds: Number of seeds to run.
+    :param first: The first seed; the others count up from it.
+    :param processes: Daemons of each run.
+    :param seconds: Time of each run in which faults begin, seconds.
     """
-    faulty = 0
+    failed_seeds = 0
     for seed in range(first, first + seeds):
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-        notes = asyncio.run(play(seed, processes, seconds, folder))
-        found = broken(notes)
-        faulty += bool(found)
-        print(line(seed, notes, found), flush=True)
-        for each in found[:SHOWN]:
-            print(f"  {each.promise}: {each.shown_by}")
-        if found:
+        history = asyncio.run(run_seed(seed, processes, seconds, folder))
+        violations = find_violations(history)
+        failed_seeds += bool(violations)
+        print(summary(seed, history, violations), flush=True)
+        for each in violations[:MAX_SHOWN]:
+            print(f"  {each.promise}: {each.evidence}")
+        if violations:
             print(f"  logs: {folder}")
-            again = f"python -m soak --first {seed} --processes {processes} --seconds {seconds}"
-            print(f"  again: {again}", flush=True)
-    print(f"{seeds} seeds played, {faulty} with a broken promise")
-    return 1 if faulty else 0
+            rerun = f"python -m soak --first {seed} --processes {processes} --seconds {seconds}"
+            print(f"  run again: {rerun}", flush=True)
+    print(f"{seeds} seeds run, {failed_seeds} with a broken promise")
+    return 1 if failed_seeds else 0
 
 
-def line(seed: int, notes: Notes, found: list[Broken]) -> str:
-    """Return one line on the play of a seed."""
-    statuses = Counter(each.status for each in notes.asked)
-    kinds = Counter(each.kind for each in notes.faults)
+def summary(seed: int, history: History, violations: list[Violation]) -> str:
+    """Return one line on the run of a seed: violations, requests by status, faults by kind."""
+    statuses = Counter(each.status for each in history.results)
+    kinds = Counter(each.kind for each in history.faults)
     answered = ", ".join(f"{status}: {count}" for status, count in sorted(statuses.items()))
     faults = ", ".join(f"{kind} {count}" for kind, count in sorted(kinds.items()))
-    return f"seed {seed}: {len(found)} broken; {len(notes.asked)} asked ({answered}); {faults}"
+    return (
+        f"seed {seed}: {len(violations)} broken; {len(history.results)} asked ({answered}); "
+        f"{faults}"
+    )
 
 
 if __name__ == "__main__":
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that use open connections until they end, and note what they saw."""
+"""Callers that send requests over persistent connections and record the results."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 
 import httptools
 
-from soak.notes import Asked
+from soak.history import RequestResult
 
 if TYPE_CHECKING:
     from collections.abc import Callable
     from random import Random
 
-ANSWER_S = 10.0
-"""Longest wait for an answer, seconds: five times the deadline of a request."""
+ANSWER_TIMEOUT_S = 10.0
+"""Longest wait for an answer, seconds; well above the deadline of a request."""
 DEADLINE_MS = 2000
-"""Time that a request has, milliseconds."""
-PAUSE_S = 0.02
-"""Mean pause of a caller between two requests, seconds."""
-AWAY_S = 0.05
-"""Pause after a daemon refused a connection, seconds."""
-SAFE_SHARE = 0.5
-"""Share of requests that may be repeated."""
+"""Deadline of a request, milliseconds."""
+MEAN_PAUSE_S = 0.02
+"""Mean pause between two requests of a caller, seconds."""
+RECONNECT_PAUSE_S = 0.05
+"""Pause after a failed connection attempt, seconds."""
+REPEATABLE_SHARE = 0.5
+"""Share of requests that are repeatable."""
 
 
 class Caller:
-    """Asks one daemon again and again, on one connection for as long as that lasts."""
+    """Sends requests to one daemon in sequence and reconnects when its connection ends."""
 
     def __init__(
         self, name: str, daemon: str, address: str, now: Callable[[], float], rng: Random
     ) -> None:
-        self.asked: list[Asked] = []
+        self.results: list[RequestResult] = []
         self._name = name
         self._daemon = daemon
         self._address = address
@@ -40,39 +40,39 @@
         self._count = 0
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Send requests until cancelled."""
         host, _, port = self._address.rpartition(":")
         while True:
             try:
                 reader, writer = await asyncio.open_connection(host, int(port))
             except OSError:
-                await asyncio.sleep(AWAY_S)
+                await asyncio.sleep(RECONNECT_PAUSE_S)
                 continue
             try:
-                while await self._ask(reader, writer):
-                    await asyncio.sleep(self._rng.expovariate(1 / PAUSE_S))
+                while await self._request(reader, writer):
+                    await asyncio.sleep(self._rng.expovariate(1 / MEAN_PAUSE_S))
             finally:
                 writer.close()
 
-    async def ask_once(self) -> int:
-        """Ask on a connection of its own; returns the status, 0 for none."""
+    async def request_once(self) -> int:
+        """Send one request on a new connection; returns the status, 0 without an answer."""
         host, _, port = self._address.rpartition(":")
         try:
             reader, writer = await asyncio.open_connection(host, int(port))
         except OSError:
             return 0
         try:
-            await self._ask(reader, writer)
+            await self._request(reader, writer)
         finally:
             writer.close()
-        return self.asked[-1].status
+        return self.results[-1].status
 
-    async def _ask(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Send one request and note its end; returns whether the connection goes on."""
+    async def _request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+        """Send one request and record its result; returns whether the connection can be reused."""
         self._count += 1
         attempt = f"{self._name}{self._count:06x}"
-        safe = self._rng.random() < SAFE_SHARE
-        method, path = ("GET", "/s/") if safe else ("POST", "/u/")
+        repeatable = self._rng.random() < REPEATABLE_SHARE
+        method, path = ("GET", "/s/") if repeatable else ("POST", "/u/")
         path += attempt
         head = f"{method} {path} HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: {attempt}\r\n"
         head += f"X-Deadline-Ms: {DEADLINE_MS}\r\nContent-Length: 0\r\n\r\n"
@@ -80,15 +80,22 @@
         answer = _Answer()
         try:
             writer.write(head.encode())
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 await answer.read(reader)
         except (OSError, TimeoutError):
             answer.closed = True
-        whole = answer.body == f"ran {path}".encode()
-        note = Asked(
-            attempt, self._daemon, safe, sent, self._now(), answer.status, answer.echo, whole
+        complete = answer.body == f"ran {path}".encode()
+        result = RequestResult(
+            attempt,
+            self._daemon,
+            repeatable,
+            sent,
+            self._now(),
+            answer.status,
+            answer.echo,
+            complete,
         )
-        self.asked.append(note)
+        self.results.append(result)
         return not answer.closed
 
 
--- /dev/null
+++ b/soak/checker.py
@@ -0,0 +1,73 @@
+"""Checks the history of a run against the promises made to callers; no I/O.
+
+Not checked: configurations in force, deadlines, retry budgets, departures of upstreams,
+memory.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import TYPE_CHECKING
+
+from soak.history import Violation
+
+if TYPE_CHECKING:
+    from soak.history import History, RequestResult
+
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses that promise that a request has not run and never will."""
+UNPLANNED = frozenset({"kill", "pause"})
+"""Kinds of faults that may interrupt running calls."""
+FAULT_EFFECT_S = 4.0
+"""Time after an unplanned fault in which calls may still fail because of it, seconds.
+
+A silent host is detected after 1.5 s, and a call may then wait 1 s for its result.
+"""
+MAX_STOP_S = 9.0
+"""Longest planned stop, seconds: `drain_ms` of 5 s, and time to notify peers and exit."""
+
+
+def find_violations(history: History, *, check_stop_time: bool = True) -> list[Violation]:
+    """Return all violations; without `check_stop_time` planned stops may take any time."""
+    ran = Counter(each.attempt for each in history.executions)
+    found: list[Violation] = []
+    for result in history.results:
+        found += _answer_violations(result, ran[result.attempt])
+        if not result.repeatable and ran[result.attempt] > 1:
+            evidence = f"{result.attempt} ran {ran[result.attempt]} times"
+            found.append(Violation("at-most-once", evidence))
+        if _is_interrupted(result) and ran[result.attempt] and not _is_excused(result, history):
+            evidence = f"{result.attempt} at {result.daemon} ran and ended as {result.status}"
+            found.append(Violation("planned-stop-cuts-nothing", evidence))
+    for stop in history.stops:
+        if stop.code != 0 or (check_stop_time and stop.took > MAX_STOP_S):
+            evidence = f"{stop.daemon}: code {stop.code} after {stop.took:.1f} s"
+            found.append(Violation("planned-stop-ends", evidence))
+    found += [Violation("served-again", f"{daemon} did not answer") for daemon in history.unserved]
+    return found
+
+
+def _answer_violations(result: RequestResult, ran: int) -> list[Violation]:
+    found: list[Violation] = []
+    if result.status in NOT_RUN_STATUSES and ran:
+        evidence = f"{result.attempt} ended as {result.status} and ran {ran} times"
+        found.append(Violation("not-run-is-true", evidence))
+    if result.status == 200 and not ran:
+        found.append(Violation("answers-are-the-upstreams", f"{result.attempt} never ran"))
+    if result.status == 200 and (not result.complete or result.echo != result.attempt):
+        evidence = f"{result.attempt} got an answer of {result.echo or 'nobody'}"
+        found.append(Violation("answers-are-whole-and-their-own", evidence))
+    return found
+
+
+def _is_interrupted(result: RequestResult) -> bool:
+    return result.status in (0, 502)
+
+
+def _is_excused(result: RequestResult, history: History) -> bool:
+    return any(
+        fault.kind in UNPLANNED
+        and fault.began <= result.ended
+        and result.sent <= fault.ended + FAULT_EFFECT_S
+        for fault in history.faults
+    )
--- /dev/null
+++ b/soak/history.py
@@ -0,0 +1,59 @@
+"""Records of a run: requests, executions and faults; times in seconds since traffic started."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+
+class RequestResult(NamedTuple):
+    """A request as its caller saw it; status 0 if no complete answer came."""
+
+    attempt: str
+    daemon: str
+    repeatable: bool
+    sent: float
+    ended: float
+    status: int
+    echo: str
+    complete: bool
+
+
+class Execution(NamedTuple):
+    """A request that an upstream began to execute."""
+
+    attempt: str
+    upstream: str
+
+
+class Fault(NamedTuple):
+    """A fault injected into a daemon, its upstream or its store."""
+
+    kind: str
+    daemon: str
+    began: float
+    ended: float
+
+
+class PlannedStop(NamedTuple):
+    """A planned stop: its duration and exit code, None if the process had to be killed."""
+
+    daemon: str
+    took: float
+    code: int | None
+
+
+class History(NamedTuple):
+    """The history of one seed; `unserved` are daemons that answered no request in time."""
+
+    results: tuple[RequestResult, ...]
+    executions: tuple[Execution, ...]
+    faults: tuple[Fault, ...]
+    stops: tuple[PlannedStop, ...]
+    unserved: tuple[str, ...]
+
+
+class Violation(NamedTuple):
+    """A broken promise and the evidence for it."""
+
+    promise: str
+    evidence: str
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -1,4 +1,4 @@
-"""Daemons as processes of their own, ended by the ids under which they were started."""
+"""Starts and stops daemons as child processes."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-START_S = 60.0
-"""Longest wait for a process to listen, seconds: it ends what hangs, and says nothing of speed."""
-STOP_S = 20.0
-"""Longest wait for a process that was told to stop, seconds; then it is killed."""
+START_TIMEOUT_S = 60.0
+"""Longest wait for a process to listen, seconds."""
+STOP_TIMEOUT_S = 20.0
+"""Longest wait for a process to exit, seconds; then it is killed."""
 SETTINGS = """
 [daemon]
 name = {name}
@@ -35,7 +35,7 @@
 log = {log}
 stream = daemons
 wait_ms = 1000
-first_start = {first}
+first_start = {first_start}
 [limits]
 drain_ms = 5000
 [observe]
@@ -45,7 +45,7 @@
 
 
 class DaemonProcess:
-    """One daemon, which keeps its addresses over restarts; its log lines go to a file."""
+    """A daemon that keeps its addresses over restarts and logs to a file."""
 
     def __init__(self, name: str, data_centre: str, upstream: str, log: str, folder: Path) -> None:
         self.name = name
@@ -55,48 +55,48 @@
         self.folder = folder
         self.addresses = {name: reusable_address() for name in PORTS}
         self.process: asyncio.subprocess.Process | None = None
-        self.first = True
+        self.first_start = True
 
     async def start(self) -> None:
-        """Start it and wait until it listens."""
+        """Write the settings, start the process and wait until it listens."""
         path = self.folder / f"{self.name}.ini"
         text = SETTINGS.format(
             name=self.name,
             data_centre=self.data_centre,
             address=self.upstream,
             log=self.log,
-            first="yes" if self.first else "no",
+            first_start="yes" if self.first_start else "no",
             **self.addresses,
         )
         path.write_text(text)
-        with (self.folder / f"{self.name}.log").open("ab") as lines:
+        with (self.folder / f"{self.name}.log").open("ab") as log_file:
             self.process = await asyncio.create_subprocess_exec(
                 *(sys.executable, "-m", "foldhoist", "daemon", str(path)),
                 stdout=asyncio.subprocess.PIPE,
-                stderr=lines,
+                stderr=log_file,
                 env={**os.environ, "PYTHONPATH": os.pathsep.join(["platform", "."])},
             )
         assert self.process.stdout is not None
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             line = await self.process.stdout.readline()
         self.addresses = {name: json.loads(line)["addresses"][name] for name in PORTS}
-        self.first = False
+        self.first_start = False
 
-    def send(self, number: signal.Signals) -> None:
-        """Send it a signal if it runs."""
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal if the process is running."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
     async def stop(self) -> int | None:
-        """Stop it as planned; returns its code, or None if it had to be killed."""
-        self.send(signal.SIGTERM)
-        return await self.ended()
+        """Stop the process by SIGTERM; returns its exit code, or None if it had to be killed."""
+        self.send_signal(signal.SIGTERM)
+        return await self.wait()
 
-    async def ended(self) -> int | None:
-        """Wait for its end; returns its code, or None if it had to be killed."""
+    async def wait(self) -> int | None:
+        """Wait for the process to exit; returns its exit code, or None if it had to be killed."""
         assert self.process is not None
         try:
-            async with asyncio.timeout(STOP_S):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 return await self.process.wait()
         except TimeoutError:
             self.process.kill()
--- a/soak/world.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""The play of one seed: stand-ins, daemons, callers, and the faults between them."""
+"""Runs one seed: starts stand-ins, daemons and callers, injects faults, records the history."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from soak.callers import Caller
-from soak.notes import Asked, Fault, Notes, Ran, Stopped
+from soak.history import Execution, Fault, History, PlannedStop, RequestResult
 from soak.processes import DaemonProcess
 from tests.adapter.cluster import call
 from tests.adapter.keyed_log import KeyedLog
@@ -19,36 +19,36 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from soak.schedule import Planned
+    from soak.schedule import PlannedFault
 
-CENTRES = 3
-"""Data centres that the daemons are spread over."""
-CALLERS = 2
-"""Callers of each daemon."""
-BEAT_S = 0.5
-"""Time between two announcements of an upstream, seconds."""
-WORK_S = 0.02
-"""Time that an upstream works on a request, seconds."""
-SLOW_S = 0.3
-"""The same during a fault `slow`, seconds."""
-AGAIN_S = 30.0
-"""Time after the last fault in which each daemon must serve again, seconds."""
-READY_S = 60.0
-"""Longest wait until all serve at the beginning, seconds."""
+DATA_CENTRES = 3
+"""Number of data centres that the daemons are spread over."""
+CALLERS_PER_DAEMON = 2
+"""Number of callers of each daemon."""
+HEARTBEAT_S = 0.5
+"""Interval between two heartbeats of an upstream, seconds."""
+SERVICE_S = 0.02
+"""Service time of a request, seconds."""
+SLOW_SERVICE_S = 0.3
+"""Service time of a request during a fault of kind `slow`, seconds."""
+RECOVERY_TIMEOUT_S = 30.0
+"""Time after the last fault within which each daemon must serve again, seconds."""
+READY_TIMEOUT_S = 60.0
+"""Longest wait until every daemon serves after its first start, seconds."""
 
 
-class World:
-    """Everything of one play."""
+class SoakRun:
+    """State of the run of one seed."""
 
     def __init__(self, seed: int, processes: int, folder: Path) -> None:
         self._rng = Random(seed)
         self._loop = asyncio.get_running_loop()
-        self._zero = self._loop.time()
+        self._traffic_start = self._loop.time()
         self._log = KeyedLog()
         self._sequence = 0
         self._faults: list[Fault] = []
-        self._stopped: list[Stopped] = []
-        self._busy: set[str] = set()
+        self._stops: list[PlannedStop] = []
+        self._interrupted: set[str] = set()
         self._targets = {
             f"d{number}": FakeTarget("shop", f"i-{number}") for number in range(processes)
         }
@@ -56,40 +56,42 @@
         self._folder = folder
 
     def now(self) -> float:
-        """Return the time since the beginning of traffic, seconds."""
-        return self._loop.time() - self._zero
+        """Return the time since traffic started, seconds."""
+        return self._loop.time() - self._traffic_start
 
-    async def play(self, faults: list[Planned], length: float) -> Notes:
-        """Start everything, inject the faults, and return what was noted."""
-        beats: list[asyncio.Task[None]] = []
-        running: list[asyncio.Task[None]] = []
+    async def execute(self, faults: list[PlannedFault], length: float) -> History:
+        """Start everything, inject the faults and return the history; `length` is in seconds."""
+        heartbeats: list[asyncio.Task[None]] = []
+        traffic: list[asyncio.Task[None]] = []
         try:
             await self._start()
-            beats = [self._loop.create_task(self._beat(name)) for name in self._daemons]
-            unserved = await self._until_served(READY_S)
-            self._zero = self._loop.time()
+            heartbeats = [
+                self._loop.create_task(self._send_heartbeats(name)) for name in self._daemons
+            ]
+            unserved = await self._wait_until_served(READY_TIMEOUT_S)
+            self._traffic_start = self._loop.time()
             callers = self._callers()
-            running = [self._loop.create_task(caller.run()) for caller in callers]
+            traffic = [self._loop.create_task(caller.run()) for caller in callers]
             await asyncio.gather(*(self._inject(fault) for fault in faults))
             await asyncio.sleep(max(0.0, length - self.now()))
-            unserved += await self._until_served(AGAIN_S)
-            for task in running:
+            unserved += await self._wait_until_served(RECOVERY_TIMEOUT_S)
+            for task in traffic:
                 task.cancel()
-            await asyncio.gather(*running, return_exceptions=True)
-            return self._notes(callers, unserved)
+            await asyncio.gather(*traffic, return_exceptions=True)
+            return self._history(callers, unserved)
         finally:
-            for task in (*beats, *running):
+            for task in (*heartbeats, *traffic):
                 task.cancel()
-            await self._end()
+            await self._terminate()
 
     # Steps
 
     async def _start(self) -> None:
         for number, (name, target) in enumerate(self._targets.items()):
-            target.work_s = WORK_S
+            target.work_s = SERVICE_S
             await target.start()
             log = self._log.door(name).address
-            centre = f"c{number % CENTRES}"
+            centre = f"c{number % DATA_CENTRES}"
             self._daemons[name] = DaemonProcess(name, centre, target.address, log, self._folder)
         await self._configure()
         await asyncio.gather(*(daemon.start() for daemon in self._daemons.values()))
@@ -107,8 +109,8 @@
         }
         await self._log.put("keyed.op", "config", json.dumps(body).encode())
 
-    async def _beat(self, name: str) -> None:
-        """Announce an upstream to its daemon again and again; one that is away is passed over."""
+    async def _send_heartbeats(self, name: str) -> None:
+        """Announce an upstream to its daemon periodically; ignores failures to reach it."""
         target = self._targets[name]
         while True:
             self._sequence += 1
@@ -118,25 +120,25 @@
             }
             path = f"/foldhoist/instances/{target.instance}"
             with suppress(OSError, TimeoutError):
-                async with asyncio.timeout(2 * BEAT_S):
+                async with asyncio.timeout(2 * HEARTBEAT_S):
                     address = self._daemons[name].addresses["control"]
                     await call(address, "PUT", path, body=json.dumps(body).encode())
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(HEARTBEAT_S)
 
     def _callers(self) -> list[Caller]:
         return [
             Caller(
-                f"{name}-{number}-", name, daemon.addresses["callers"], self.now, self._own_rng()
+                f"{name}-{number}-", name, daemon.addresses["callers"], self.now, self._new_rng()
             )
             for name, daemon in self._daemons.items()
-            for number in range(CALLERS)
+            for number in range(CALLERS_PER_DAEMON)
         ]
 
-    def _own_rng(self) -> Random:
+    def _new_rng(self) -> Random:
         return Random(self._rng.random())
 
-    async def _until_served(self, limit: float) -> list[str]:
-        """Wait until every daemon has answered a request; returns those that did not."""
+    async def _wait_until_served(self, limit: float) -> list[str]:
+        """Wait until every daemon has answered a request; returns those that have not in time."""
         until = self._loop.time() + limit
         left = dict(self._daemons)
         while left and self._loop.time() < until:
@@ -146,72 +148,76 @@
                     name,
                     daemon.addresses["callers"],
                     self.now,
-                    self._own_rng(),
+                    self._new_rng(),
                 )
-                if await caller.ask_once() == 200:
+                if await caller.request_once() == 200:
                     del left[name]
             await asyncio.sleep(0.1)
         return list(left)
 
-    async def _inject(self, fault: Planned) -> None:
+    async def _inject(self, fault: PlannedFault) -> None:
         await asyncio.sleep(max(0.0, fault.at - self.now()))
         began = self.now()
         match fault.kind:
-            case "stop" | "kill" if fault.daemon not in self._busy:
-                self._busy.add(fault.daemon)
+            case "stop" | "kill" if fault.daemon not in self._interrupted:
+                self._interrupted.add(fault.daemon)
                 await self._restart(fault)
-                self._busy.discard(fault.daemon)
-            case "pause" if fault.daemon not in self._busy:
-                self._busy.add(fault.daemon)
-                self._daemons[fault.daemon].send(signal.SIGSTOP)
-                await asyncio.sleep(fault.lasts)
-                self._daemons[fault.daemon].send(signal.SIGCONT)
-                self._busy.discard(fault.daemon)
+                self._interrupted.discard(fault.daemon)
+            case "pause" if fault.daemon not in self._interrupted:
+                self._interrupted.add(fault.daemon)
+                self._daemons[fault.daemon].send_signal(signal.SIGSTOP)
+                await asyncio.sleep(fault.duration)
+                self._daemons[fault.daemon].send_signal(signal.SIGCONT)
+                self._interrupted.discard(fault.daemon)
             case "store":
-                self._log.door(fault.daemon).fault = fault.how
-                await asyncio.sleep(fault.lasts)
+                self._log.door(fault.daemon).fault = fault.store_fault
+                await asyncio.sleep(fault.duration)
                 self._log.door(fault.daemon).fault = ""
             case "full":
                 self._targets[fault.daemon].full = True
-                await asyncio.sleep(fault.lasts)
+                await asyncio.sleep(fault.duration)
                 self._targets[fault.daemon].full = False
             case "slow":
-                self._targets[fault.daemon].work_s = SLOW_S
-                await asyncio.sleep(fault.lasts)
-                self._targets[fault.daemon].work_s = WORK_S
+                self._targets[fault.daemon].work_s = SLOW_SERVICE_S
+                await asyncio.sleep(fault.duration)
+                self._targets[fault.daemon].work_s = SERVICE_S
         self._faults.append(Fault(fault.kind, fault.daemon, began, self.now()))
 
-    async def _restart(self, fault: Planned) -> None:
+    async def _restart(self, fault: PlannedFault) -> None:
         daemon = self._daemons[fault.daemon]
         began = self.now()
         if fault.kind == "kill":
-            daemon.send(signal.SIGKILL)
-            await daemon.ended()
+            daemon.send_signal(signal.SIGKILL)
+            await daemon.wait()
         else:
             code = await daemon.stop()
-            self._stopped.append(Stopped(fault.daemon, self.now() - began, code))
-        await asyncio.sleep(fault.lasts)
+            self._stops.append(PlannedStop(fault.daemon, self.now() - began, code))
+        await asyncio.sleep(fault.duration)
         await daemon.start()
 
-    def _notes(self, callers: list[Caller], unserved: list[str]) -> Notes:
-        asked: list[Asked] = [each for caller in callers for each in caller.asked]
-        ran = [
-            Ran(req.headers.get("x-attempt-id", ""), name)
+    def _history(self, callers: list[Caller], unserved: list[str]) -> History:
+        results: list[RequestResult] = [each for caller in callers for each in caller.results]
+        executions = [
+            Execution(req.headers.get("x-attempt-id", ""), name)
             for name, target in self._targets.items()
             for req in target.ran
         ]
-        return Notes(
-            tuple(asked), tuple(ran), tuple(self._faults), tuple(self._stopped), tuple(unserved)
+        return History(
+            tuple(results),
+            tuple(executions),
+            tuple(self._faults),
+            tuple(self._stops),
+            tuple(unserved),
         )
 
-    async def _end(self) -> None:
-        """End the processes that were started here, by their ids."""
+    async def _terminate(self) -> None:
+        """Kill the daemons and close the stand-ins."""
         for daemon in self._daemons.values():
-            daemon.send(signal.SIGCONT)
-            daemon.send(signal.SIGKILL)
+            daemon.send_signal(signal.SIGCONT)
+            daemon.send_signal(signal.SIGKILL)
         for daemon in self._daemons.values():
             if daemon.process is not None:
-                await daemon.ended()
+                await daemon.wait()
         for target in self._targets.values():
             target.close()
         self._log.close()
--- /dev/null
+++ b/tests/soak/test_checker.py
@@ -0,0 +1,75 @@
+"""The checker finds each broken promise and excuses only calls that an unplanned fault explains."""
+
+from __future__ import annotations
+
+import pytest
+
+from soak.checker import FAULT_EFFECT_S, MAX_STOP_S, find_violations
+from soak.history import Execution, Fault, History, PlannedStop, RequestResult
+
+GOOD = RequestResult("a1", "d0", False, 1.0, 1.1, 200, "a1", True)
+RAN = Execution("a1", "d1")
+
+
+def history(
+    *results: RequestResult,
+    executions: tuple[Execution, ...] = (RAN,),
+    faults: tuple[Fault, ...] = (),
+    stops: tuple[PlannedStop, ...] = (),
+    unserved: tuple[str, ...] = (),
+) -> History:
+    return History(results, executions, faults, stops, unserved)
+
+
+def promises(checked: History) -> list[str]:
+    return [each.promise for each in find_violations(checked)]
+
+
+def test_kept_promises_give_no_violation() -> None:
+    stops = (PlannedStop("d0", 4.0, 0),)
+    assert promises(history(GOOD, stops=stops)) == []
+    refused = GOOD._replace(status=503, echo="", complete=False)
+    assert promises(history(refused, executions=())) == []
+
+
+@pytest.mark.parametrize("status", [408, 421, 429, 503])
+def test_a_refused_call_ran(status: int) -> None:
+    assert promises(history(GOOD._replace(status=status))) == ["not-run-is-true"]
+
+
+def test_an_unrepeatable_call_ran_twice() -> None:
+    twice = (RAN, Execution("a1", "d2"))
+    assert promises(history(GOOD, executions=twice)) == ["at-most-once"]
+    assert promises(history(GOOD._replace(repeatable=True), executions=twice)) == []
+
+
+def test_an_answer_is_incomplete_or_of_another_call_or_of_no_upstream() -> None:
+    promise = "answers-are-whole-and-their-own"
+    assert promises(history(GOOD._replace(complete=False))) == [promise]
+    assert promises(history(GOOD._replace(echo="a2"))) == [promise]
+    assert promises(history(GOOD, executions=())) == ["answers-are-the-upstreams"]
+
+
+@pytest.mark.parametrize("status", [0, 502])
+def test_a_call_ran_and_was_interrupted(status: int) -> None:
+    cut = GOOD._replace(status=status, echo="", complete=False)
+    promise = "planned-stop-cuts-nothing"
+    assert promises(history(cut)) == [promise]
+    assert promises(history(cut, executions=())) == []
+    stop = Fault("stop", "d0", 0.5, 5.0)
+    assert promises(history(cut, faults=(stop,))) == [promise]
+    kill = Fault("kill", "d1", 0.5, 0.9)
+    assert promises(history(cut, faults=(kill,))) == []
+    later = kill._replace(began=1.2, ended=1.5)
+    assert promises(history(cut, faults=(later,))) == [promise]
+    long_ago = kill._replace(began=0.0, ended=1.0 - FAULT_EFFECT_S - 0.1)
+    assert promises(history(cut, faults=(long_ago,))) == [promise]
+
+
+@pytest.mark.parametrize(("took", "code"), [(1.0, None), (1.0, 1), (MAX_STOP_S + 1, 0)])
+def test_a_planned_stop_is_late_or_fails(took: float, code: int | None) -> None:
+    assert promises(history(stops=(PlannedStop("d0", took, code),))) == ["planned-stop-ends"]
+
+
+def test_a_daemon_does_not_recover() -> None:
+    assert promises(history(unserved=("d3",))) == ["served-again"]
