--- a/tests/adapter/test_path.py
+++ b/tests/adapter/test_path.py
@@ -128,7 +128,7 @@
     await cluster.start_daemon("a")
     await cluster.beat("a", "ready", status={"sequence": 1})
     await cluster.settle(3)
-    await until(lambda: cluster.daemons["a"].upstream._settled)
+    await until(lambda: cluster.daemons["a"].upstream._released)
     for _ in range(5):
         assert (await cluster.ask("a")).status == 200
     assert cluster.targets["a"].ran == []
