--- a/foldhoist/admission/body_memory.py
+++ b/foldhoist/admission/body_memory.py
@@ -5,9 +5,9 @@
 DEFAULT_BODY_MEMORY_BYTES = 32 * 1024 * 1024
 """Default limit, bytes."""
 SMALL_BODY_BYTES = 64 * 1024
-"""Bodies up to this size may use the part of the limit that is reserved for small ones."""
+"""Bodies of up to this many bytes may use the part of the limit reserved for small ones."""
 LARGE_BODY_SHARE = 0.75
-"""Share of the limit up to which larger bodies are accepted."""
+"""A larger body is accepted while all bodies together use at most this share of the limit."""
 
 
 class BodyMemory:
@@ -20,7 +20,7 @@
     def has_room(self, size: int, body_size: int) -> bool:
         """Return whether `size` more bytes fit, for a body of `body_size` bytes including them.
 
-        No bytes always fit, even if more than the limit is in use after the limit was lowered.
+        A `size` of 0 always fits, even if more than a lowered limit is in use.
         """
         if not size:
             return True
--- a/foldhoist/admission/bucket.py
+++ b/foldhoist/admission/bucket.py
@@ -21,7 +21,10 @@
         return True
 
     def wait(self, now: float, amount: float = 1.0) -> float:
-        """Return the seconds until the bucket has `amount` tokens, infinity at a rate of 0."""
+        """Return the seconds until the bucket has `amount` tokens.
+
+        At a rate of 0 this is infinity, even if the bucket has them.
+        """
         self._refill(now)
         if self.rate <= 0:
             return float("inf")
--- a/foldhoist/admission/cold.py
+++ b/foldhoist/admission/cold.py
@@ -62,9 +62,9 @@
     def set_rate(self, now: float, rate: ColdRate, began: float | None = None) -> None:
         """Set the configured rate.
 
-        When a rate is first set, a full window of starts at `began` is assumed, the time at which
-        this daemon's process began (`now` if it is None or later): an earlier incarnation may have
-        sent that many just before.
+        When the rate becomes known, a full window of starts at `began` is assumed, the time at
+        which this daemon's process began (`now` if it is None or later): an earlier incarnation may
+        have sent that many just before.
         """
         if not self.rate.per_s and rate.per_s:
             at = now if began is None else min(now, began)
@@ -72,9 +72,10 @@
         self.rate = rate
 
     def reset_on_replacement(self) -> None:
-        """Record that another incarnation has replaced the upstream: its cold period ends.
+        """Record that a new incarnation of the upstream has replaced the old one.
 
-        If the rate is unknown, a ramp begins.
+        What was known of the old one's cold period is discarded. If the rate is unknown, a ramp
+        begins.
         """
         self._until = float("-inf")
         if not self.rate.per_s:
@@ -86,7 +87,7 @@
         self._ramp.record_answer()
 
     def usable_slots(self, slots: int) -> int:
-        """Return how many of its slots may be used now."""
+        """Return how many of the upstream's slots may be used now."""
         return self._ramp.usable_slots(slots)
 
     def extend(self, now: float, left_s: float) -> None:
@@ -99,7 +100,7 @@
             self._until = max(self._until, now + left_s)
 
     def set_remaining(self, now: float, left_s: float) -> None:
-        """Set for how many seconds the upstream stays cold, from its current answer."""
+        """Set for how many seconds the upstream stays cold, as it has reported just now."""
         self._until = now + left_s
 
     def assume_cold(self, now: float) -> None:
@@ -122,7 +123,7 @@
         return self.ready_at(now) <= now
 
     def ready_at(self, now: float, ahead: int = 0) -> float:
-        """Return when a call with `ahead` others before it may start."""
+        """Return the time at which a call with `ahead` others before it may start."""
         if not self.is_cold(now):
             return now
         self._drop_old_starts(now)
@@ -135,7 +136,7 @@
         return min(self._until, start + (windows + 1) * self._window_s)
 
     def is_overloaded(self, now: float) -> bool:
-        """Return whether the upstream is cold and has had more calls than a window allows."""
+        """Return whether the upstream is cold and got more calls in a window than it handles."""
         if not self.is_cold(now):
             return False
         self._drop_old_starts(now)
--- a/foldhoist/admission/concurrency_limit.py
+++ b/foldhoist/admission/concurrency_limit.py
@@ -20,16 +20,16 @@
 MAX_BASELINE = 60
 """Baseline times that are kept for a route."""
 LOADED_SAMPLES = 20
-"""Answers under load that are evaluated together: fewer would often seem slow by chance."""
+"""Answers under high concurrency that are evaluated together; fewer often seem slow by chance."""
 COMPARED_QUANTILE = 0.3
 """Quantile at which service times are compared.
 
 Slow periods of a neighbour and waits for nested calls dominate the higher ones, under load or not.
 """
 MAX_SLOWDOWN = 1.3
-"""Ratio of the times under load to the baseline above which the limit is reduced."""
+"""Ratio of service times under high concurrency to the baseline that reduces the limit."""
 FIRST_REDUCTION_S = 30.0
-"""Length of the first reduction, seconds; each further one is twice as long."""
+"""Length of the first reduction, seconds; each further one is twice as long, up to the maximum."""
 MAX_REDUCTION_S = 600.0
 """Longest reduction, seconds."""
 
@@ -59,7 +59,10 @@
         return self.safe_slots if now < self._reduced_until else self.slots
 
     def record_answer(self, now: float, route: str, concurrent: int, served_s: float) -> None:
-        """Record the service time of a call that started as one of `concurrent` running calls."""
+        """Record the service time, seconds, of a call that was answered.
+
+        `concurrent` is the number of calls that ran when it started, itself included.
+        """
         if self.safe_slots == self.slots or served_s <= 0.0:
             return
         baseline = self._baseline.setdefault(route, deque(maxlen=MAX_BASELINE))
--- a/foldhoist/admission/due.py
+++ b/foldhoist/admission/due.py
@@ -22,7 +22,7 @@
     from foldhoist.schema.messages import Dispatch
 
 RANK_DELAY_S = 0.02
-"""Added to the due time of a call for each priority rank, seconds."""
+"""Added to the due time of a call once per rank, seconds; rank 0 adds nothing."""
 
 
 class QueuedCall(NamedTuple):
@@ -30,8 +30,8 @@
 
     `expect_s` is the expected service time. The call waits until `start_by`; a slot that is free
     after that is still taken before the `deadline`. Once it can't be answered by `on_time_by`
-    (None: by `due`), it goes behind the calls that can be on time. Among those, the ones of
-    `low_priority` go last.
+    (None: by `due`), it goes behind the calls that still can. Among calls that can be on time,
+    those of `low_priority` go last.
     """
 
     due: float
@@ -44,7 +44,7 @@
 
     @property
     def order(self) -> tuple[bool, float]:
-        """Return the sort key in the queue."""
+        """Return the sort key among the calls that can still be on time."""
         return self.low_priority, self.due
 
 
@@ -73,13 +73,13 @@
     ) -> QueuedCall:
         """Return a new call with its times and priority; records which service it comes from.
 
-        Without an objective it is due when its budget ends. Calls of a customer that has used up
-        most of its burst have low priority, and so have calls of a rank that `RefusalRates` puts
-        behind more urgent ones.
+        It is due by the objective of its route, or without one when its budget ends, plus the delay
+        of its rank. Calls of a customer that has used more than half of its burst have low
+        priority, and so have calls of a rank that `RefusalRates` puts behind more urgent ones.
 
-        A nested call takes the rank of its parent, whose work is lost if it is refused: it waits
-        longer and counts as on time until its deadline. One of low priority waits no longer than
-        other calls, since it would keep the slot of its parent occupied.
+        A nested call takes the rank of its parent. If it is refused, the parent's work is lost, so
+        it may wait longer and counts as on time until its deadline. A nested call of low priority
+        waits no longer than other calls, since it would keep the slot of its parent occupied.
         """
         route = req.get("route", "")
         self._callers.record(route, req.get("caller", ""))
@@ -117,7 +117,7 @@
         return Wait(ticket)
 
     def expected_wait(self, now: float, call: QueuedCall) -> float:
-        """Return the seconds until a new call gets a slot, by the calls that go before it."""
+        """Estimate the seconds until a new call gets a slot, from the calls that go before it."""
         ahead = [other for other in self._waiting.values() if other.order <= call.order]
         work_s = sum(other.expect_s for other in ahead)
         slot_s = (work_s + self.service_s) / self.limits.slots
@@ -162,7 +162,10 @@
         ]
 
     def next_at(self, now: float) -> float | None:
-        """Return when the next waiting call expires or may start; None if none waits."""
+        """Return when to look again: a waiting call expires or a cold upstream may take one.
+
+        None if no call waits.
+        """
         if not self._waiting:
             return None
         late_at = min(call.start_by for call in self._waiting.values())
--- a/foldhoist/admission/nested.py
+++ b/foldhoist/admission/nested.py
@@ -1,8 +1,8 @@
 """Detects routes that are called by upstreams and not by outside callers; no I/O.
 
-A call of an upstream is a part of another call, whose work is lost if it is refused. The call does
-not say so. But outside callers use a route from the hosts of many services, while calls of
-upstreams to a route come from the hosts of one service only.
+A nested call, which an upstream makes while it serves another call, is not marked as such. If it is
+refused, the work of the other call is lost. Outside callers use a route from the hosts of many
+services, while nested calls to a route come from the hosts of one service only.
 """
 
 from __future__ import annotations
--- a/foldhoist/admission/pace.py
+++ b/foldhoist/admission/pace.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-NORMAL_PACE = 100.0
+USUAL_PACE = 100.0
 """Pace of an upstream at its usual speed, percent."""
 SLOW_FACTOR = 1.5
 """An upstream is slow from this multiple of its usual service time on."""
@@ -34,7 +34,7 @@
         """Record a reported pace, percent of the usual service time; 0 if there was no report."""
         if not pace:
             return
-        self._factor = pace / NORMAL_PACE
+        self._factor = pace / USUAL_PACE
         self._recorded_at = now
         if self._factor >= SLOW_FACTOR:
             if self._slow_since is None:
@@ -47,7 +47,7 @@
         """Return whether a call that usually takes `usual_s` ends sooner if it starts later.
 
         The rest of a slow period is estimated as the mean length of such periods, or as the time
-        that this one has lasted if that is longer, so that nobody waits for a lasting slowdown.
+        that this one has lasted if that is longer, so that no call waits for a lasting slowdown.
         """
         if self._slow_since is None or now - self._recorded_at > MAX_AGE_S:
             return False
--- a/foldhoist/admission/ramp.py
+++ b/foldhoist/admission/ramp.py
@@ -10,8 +10,8 @@
 class Ramp:
     """Number of usable slots, which starts at one and grows by one with each answer.
 
-    While all calls are answered it doubles in the time of a call, and reaches all slots after as
-    many answers as there are slots.
+    While all calls are answered, it doubles in the time of a call. All slots are usable after one
+    answer fewer than there are slots.
     """
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
             self._usable += 1
 
     def usable_slots(self, slots: int) -> int:
-        """Return how many of its slots may be used now."""
+        """Return how many of the upstream's slots may be used now."""
         if self._usable is not None and self._usable >= slots:
             self._usable = None
         return slots if self._usable is None else self._usable
--- a/foldhoist/admission/refusal_rates.py
+++ b/foldhoist/admission/refusal_rates.py
@@ -1,4 +1,4 @@
-"""Finds ranks that are refused far more often than less urgent ones; no I/O, no clock."""
+"""Finds priority ranks that go last because more urgent ones are refused far more; no I/O."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 DECAY_S = 3.0
 """Time constant with which decisions decay, seconds."""
 MIN_DECISIONS = 5.0
-"""Decayed count of decisions on a rank that is needed to use its refusal rate."""
+"""Decayed count of decisions that a rank needs to put less urgent ranks behind it."""
 RATE_MARGIN = 0.3
 """A rank gets low priority if a more urgent one has a refusal rate higher by more than this.
 
-Calls of low priority are mostly parts of others, whose work is lost when they are refused. So
-small differences are ignored.
+Less urgent calls are mostly nested in others, whose work is lost when they are refused. So small
+differences are ignored.
 """
 
 
--- a/foldhoist/admission/retries.py
+++ b/foldhoist/admission/retries.py
@@ -12,9 +12,10 @@
 class SlackPart(NamedTuple):
     """One daemon's part of the slack: retries that all daemons share, besides a share of calls.
 
-    The part holds up to `capacity` retries and gains `per_s` a second. Tokens earned beyond that
-    decay with the time constant `window_s`, seconds. With a capacity below one, a fraction of a
-    token allows a retry with that probability, so that the daemons together use the whole slack.
+    The part holds up to `capacity` retries and gains `per_s` a second. Tokens above the capacity,
+    earned by calls, decay with the time constant `window_s`, seconds. With a capacity below one, a
+    fraction of a token allows a retry with that probability, so that the daemons together use the
+    whole slack.
     """
 
     capacity: float
@@ -29,11 +30,11 @@
     """
 
     RESERVE = 3.0
-    """Tokens at the start of a budget without shared slack."""
+    """Tokens at the start of a budget without shared slack; none if its share of calls is 0."""
     CAP = 20.0
     """Most tokens of a budget without shared slack."""
     MAX_DEBT = 20.0
-    """Most tokens that repeats made elsewhere may take in advance."""
+    """Largest debt, in tokens, that retries at other services may cause."""
 
     def __init__(self, share: float, rng: Random) -> None:
         self.share = share
--- a/foldhoist/admission/shedding.py
+++ b/foldhoist/admission/shedding.py
@@ -10,7 +10,7 @@
 REJECTIONS_IN_A_ROW = 12
 """Rejected calls without an answer in between after which the upstream sheds all."""
 FIRST_TRIAL_PAUSE_S = 0.1
-"""Time until the first trial call, seconds; doubled with each further rejection."""
+"""Time until the first trial call, seconds; each further rejection doubles it."""
 MAX_TRIAL_PAUSE_S = 0.8
 """Longest time between a rejection and the next trial, seconds."""
 TRIAL_TIMEOUT_S = 0.5
@@ -31,7 +31,7 @@
         self._invite_at = 0.0
 
     def record_rejection(self, now: float) -> bool:
-        """Count a rejected call; returns whether the upstream is now found to shed all calls."""
+        """Count a rejected call; returns True for the one that shows that all calls are shed."""
         if not self._rejections:
             self._first_rejection_at = now
         self._rejections += 1
@@ -60,7 +60,10 @@
         return True
 
     def admits(self, now: float) -> bool:
-        """Return whether a call may go to the upstream; if it sheds all, the call is the trial."""
+        """Return whether a call may go to the upstream.
+
+        If it sheds all calls, True makes this call the trial.
+        """
         if not self.sheds_all:
             return True
         if now < self._trial_at:
@@ -69,12 +72,15 @@
         return True
 
     def should_invite(self, now: float) -> bool:
-        """Return whether to ask an ingress for a trial call: none sends one unasked."""
+        """Return whether to ask an ingress for a trial call, as none sends one unasked.
+
+        True starts the pause until the next invitation.
+        """
         if not self.sheds_all or now < max(self._trial_at, self._invite_at):
             return False
         self._invite_at = now + INVITATION_PAUSE_S
         return True
 
     def retry_after_s(self, now: float) -> float:
-        """Return the seconds until the next trial is due."""
+        """Return the seconds until the next trial may be sent, 0 if it may be now."""
         return max(0.0, self._trial_at - now)
--- a/foldhoist/admission/slots.py
+++ b/foldhoist/admission/slots.py
@@ -24,7 +24,7 @@
 
 
 class Refuse(NamedTuple):
-    """The call gets no slot in time; its caller may retry after `retry_after_s` seconds."""
+    """The call is refused for `reason`; its caller may retry after `retry_after_s` seconds."""
 
     ticket: int
     reason: str
@@ -37,9 +37,9 @@
 class QueueLimits(NamedTuple):
     """Limits of one owner's queue, from the configuration.
 
-    `slots` calls run at once and `queue` calls wait. In `SlotQueue`, ordinary calls leave
-    `urgent_slots` free, and after `urgent_run` urgent starts with ordinary calls waiting an
-    ordinary one goes first.
+    At most `slots` calls run and `queue` calls wait. `SlotQueue` keeps `urgent_slots` of the slots
+    for urgent calls. After it has started `urgent_run` urgent calls from the queue while ordinary
+    ones waited, an ordinary call goes next, in any slot.
     """
 
     slots: int
@@ -90,7 +90,7 @@
         return Wait(ticket)
 
     def expected_wait(self, ahead: int) -> float:
-        """Return the seconds until a call with `ahead` others before it gets a slot."""
+        """Estimate the seconds until a call with `ahead` others before it gets a slot."""
         over = ahead + 1 + self.busy - self.limits.slots
         return max(0, over) * self.service_s / self.limits.slots
 
@@ -110,7 +110,7 @@
         return self.advance(now)
 
     def advance(self, now: float) -> list[Decision]:
-        """Start waiting calls while there are slots; refuse those past their deadline."""
+        """Start waiting calls while slots are free; refuse those found past their deadline."""
         decisions: list[Decision] = []
         while True:
             self._drop_withdrawn(self._urgent)
