--- a/foldhoist/membership/incarnations.py
+++ b/foldhoist/membership/incarnations.py
@@ -17,7 +17,10 @@
 
 
 class UpstreamIncarnation(NamedTuple):
-    """One incarnation of an upstream; `born_ms` is its start, wall clock, 0 if unknown."""
+    """One incarnation of an upstream.
+
+    `born_ms` is its start, wall clock in milliseconds, 0 if unknown.
+    """
 
     instance: str
     born_ms: int = 0
@@ -44,7 +47,7 @@
 
 
 class EndedIncarnations:
-    """The incarnations that have ended; for each name one start time is kept.
+    """The incarnations that have ended; for each name the latest start time is kept.
 
     The end of an incarnation implies the end of all earlier ones of the same name.
     """
--- a/foldhoist/membership/neighbours.py
+++ b/foldhoist/membership/neighbours.py
@@ -1,9 +1,9 @@
 """Selects the peers that a daemon connects to and the upstreams that it tracks; no I/O.
 
-A daemon connects to every daemon of its own data centre. In other data centres it connects to some
-upstreams of each service and to some relays. Its state grows with its data centre and the number of
-services, not with the fleet. Daemons select different upstreams of a service, so that each upstream
-has about the same number of ingresses.
+A daemon connects to every daemon of its own data centre. In other data centres it connects to the
+daemons of some upstreams of each service and to some relays. Its state grows with its data centre
+and the number of services, not with the fleet. Daemons select different upstreams of a service, so
+that each upstream has about the same number of ingresses.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
     from collections.abc import Callable
 
 MAX_LOCAL = 18
-"""Maximum number of upstreams of one service tracked in the own data centre."""
+"""Maximum number of usable upstreams of one service tracked in the own data centre."""
 MIN_REMOTE = 6
-"""Minimum number of upstreams of one service tracked in other data centres, if they exist."""
+"""Number of upstreams of one service tracked in other data centres at least, if they exist."""
 MIN_TRACKED = 16
 """Upstreams of one service tracked in total; missing local ones are replaced by remote ones."""
 RELAYS_PER_DATA_CENTRE = 2
@@ -29,7 +29,7 @@
 There are two, so that updates still arrive when one is lost.
 """
 SCAN_FACTOR = 2
-"""Ring entries examined for each upstream wanted.
+"""Most ring entries selected for each upstream wanted.
 
 Unusable peers stay selected, so that they are retried, and further ones are selected beside them.
 """
@@ -94,7 +94,10 @@
 def _take_usable(
     ring: HashRing | None, name: str, limit: int, is_usable: Callable[[str], bool]
 ) -> list[str]:
-    """Return names after this one up to `limit` usable ones, with the unusable between them."""
+    """Return the names after this one, until `limit` of them are usable.
+
+    The unusable ones between them are included, `SCAN_FACTOR` times `limit` names at most.
+    """
     found: list[str] = []
     if ring is None:
         return found
--- a/foldhoist/membership/registry.py
+++ b/foldhoist/membership/registry.py
@@ -1,8 +1,8 @@
 """Registry of the daemons that one daemon knows, and of their upstreams; no I/O.
 
-Membership comes from records in the platform's store, which hold the addresses of daemons, and from
-reports that daemons send on their connections, which take precedence. Liveness is determined by
-connections, not by this list.
+Membership comes from records in the platform's store, which hold the addresses of daemons, from
+what other daemons relay, and from reports that each daemon sends on its own connections, which take
+precedence. Liveness is determined by connections, not by this list.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     from foldhoist.schema.messages import Announced, EndedLife, Member, Row, Suspect
 
 FORGET_AFTER_S = 60.0
-"""A peer that could not be reached for this long is removed, seconds."""
+"""A peer with a missing connection is removed after this time without contact, seconds."""
 UNREACHABLE_AFTER_S = 1.0
 """Another peer is selected beside one that could not be reached for this long, seconds.
 
@@ -35,7 +35,7 @@
 
 
 class QuarantinedCall(NamedTuple):
-    """A quarantined call, during which upstreams have crashed, as the store keeps it.
+    """A quarantined call and its unrefuted crashes, as the store keeps them.
 
     `at_ms` is the time of the last crash, wall clock in milliseconds.
     """
@@ -104,7 +104,7 @@
 
 
 class Disconnect(NamedTuple):
-    """A peer is removed, or its address now belongs to another one."""
+    """A peer was removed; its connection is to be closed."""
 
     name: str
 
@@ -121,11 +121,11 @@
 class Peer:
     """Another daemon.
 
-    `upstream` is None until the peer has reported it; `service` is the last one known. `relayed`
-    marks a peer known only from other daemons. `had_earlier_incarnation` is set once an earlier
-    incarnation was known from its own report or the store. `missing_since` is when a wanted
-    connection was found missing; None while it is up or not wanted. `report_number` is the number
-    of its last report.
+    `upstream` is what the peer reports, None while no report is known; `service` is the last one
+    known. `relayed` marks a peer known only from other daemons. `had_earlier_incarnation` is set
+    once an earlier incarnation was known from its own report or the store. `missing_since` is when
+    a wanted connection was found missing; None while it is up or not wanted. `report_number` is the
+    number of its last report.
     """
 
     __slots__ = (
@@ -175,7 +175,7 @@
     def add_records(
         self, now: float, records: Iterable[Registration], *, relayed: bool = False
     ) -> list[Action]:
-        """Add records of the store; they do not replace what a peer itself has reported.
+        """Add records of daemons; they do not replace what a peer itself has reported.
 
         `relayed` marks records received from other daemons, which lack ended incarnations.
         """
@@ -263,7 +263,10 @@
             peer.last_contact_at = now
 
     def expire(self, now: float, connected: set[str]) -> list[Action]:
-        """Remove the peers to which a wanted connection has been down for too long."""
+        """Remove the peers whose wanted connection is down and that sent nothing for too long.
+
+        `connected` are the names of the peers with a connection.
+        """
         actions: list[Action] = []
         for name, peer in list(self.peers.items()):
             if name in connected or peer.missing_since is None:
@@ -277,13 +280,13 @@
     def ended_incarnations(self, name: str) -> list[EndedLife] | None:
         """Return the ended incarnations of a peer's upstream, as rows of a message.
 
-        None if no earlier incarnation of the peer was known here.
+        None if no earlier incarnation of the peer is known here.
         """
         peer = self.peers.get(name)
         return peer.ended.rows() if peer is not None and peer.had_earlier_incarnation else None
 
     def rows(self) -> list[Row]:
-        """Return what is known of every peer, to be forwarded."""
+        """Return a row for every peer, to be sent to other daemons."""
         return [
             {
                 "name": peer.name,
@@ -313,8 +316,8 @@
         if own is not None and _is_present(own):
             found[own["service"]] = [Tracked(self.name, self.data_centre, own["slots"])]
         for service in self.neighbours.services:
-            near = self.neighbours.local(service, is_usable)
-            for name in near + self.neighbours.remote(service, is_usable):
+            local = self.neighbours.local(service, is_usable)
+            for name in local + self.neighbours.remote(service, is_usable):
                 peer = self.peers[name]
                 if peer.upstream is None or not _is_present(peer.upstream):
                     continue
@@ -325,7 +328,7 @@
     # Steps
 
     def _is_usable(self, now: float, name: str) -> bool:
-        """Return whether a peer can take calls now or soon, as far as is known."""
+        """Return whether a peer can take calls now or soon; one without a known upstream counts."""
         peer = self.peers[name]
         if peer.missing_since is not None and now - peer.missing_since > UNREACHABLE_AFTER_S:
             return False
@@ -381,8 +384,8 @@
 def _identity(upstream: Announced | None) -> tuple[UpstreamIncarnation, str, int, bool] | None:
     if upstream is None:
         return None
-    gone = upstream["state"] != "ready"
-    return incarnation_of(upstream), upstream["service"], upstream["slots"], gone
+    not_ready = upstream["state"] != "ready"
+    return incarnation_of(upstream), upstream["service"], upstream["slots"], not_ready
 
 
 def _is_present(upstream: Announced) -> bool:
--- a/foldhoist/membership/startup_barrier.py
+++ b/foldhoist/membership/startup_barrier.py
@@ -26,8 +26,9 @@
     def done(self) -> bool:
         """Return whether calls may go to the upstream.
 
-        The store must have answered, and a peer with records of an earlier incarnation, every peer
-        that the store names, or the wait for peers must be over.
+        This is so once the store has answered and one of these holds: a peer knew an earlier
+        incarnation, every peer that the store names has answered, or the wait for peers is over. A
+        first incarnation and one that has given up wait for nothing.
         """
         if self._released:
             return True
--- a/foldhoist/membership/upstream.py
+++ b/foldhoist/membership/upstream.py
@@ -96,8 +96,9 @@
     ) -> AnnouncementResult:
         """Apply the departure of an incarnation; `born_ms` is 0 if the message has no start time.
 
-        It then refers to the known incarnation if the name matches, else to any that started up to
-        `wall_ms`, the wall clock in milliseconds.
+        A departure without a start time refers to the known incarnation if the name matches, else
+        to all that started up to `wall_ms`, the wall clock in milliseconds. Shortly after a restart
+        of the known one it is not applied, and the result is UNSURE.
         """
         known = incarnation_of(self.current) if self.current is not None else None
         incarnation = UpstreamIncarnation(instance, born_ms)
@@ -146,7 +147,10 @@
         return True
 
     def _is_known_silent(self, incarnation: UpstreamIncarnation, now: float) -> bool:
-        """Return whether an older incarnation announces itself while the known one is silent."""
+        """Count an announcement of an older incarnation; return whether that becomes current.
+
+        It does once it has repeated itself while the known incarnation is silent.
+        """
         self._older[incarnation] = self._older.get(incarnation, 0) + 1
         _trim(self._older)
         if self._older[incarnation] < MIN_REPEATS or now - self._last_announced_at < SILENT_S:
--- a/foldhoist/membership/view.py
+++ b/foldhoist/membership/view.py
@@ -12,7 +12,7 @@
     from foldhoist.schema.fleet import Fleet
 
 REMOTE_DIVISOR = 4
-"""One in this many tracked upstreams is in another data centre, in case the own one is lost."""
+"""One in this many tracked upstreams is in another data centre if more exist than are tracked."""
 
 
 def tracked(fleet: Fleet, name: str, data_centre: str) -> dict[str, list[Member]]:
--- a/foldhoist/quarantine/table.py
+++ b/foldhoist/quarantine/table.py
@@ -72,7 +72,10 @@
 
     @property
     def active(self) -> bool:
-        """Return whether any call is quarantined; if not, identities need not be computed."""
+        """Return False only if no call is quarantined: then identities need not be computed.
+
+        A quarantine that has ended counts until its call is looked up.
+        """
         return bool(self._quarantined)
 
     def remaining_s(self, now: float, call: str) -> float:
@@ -91,14 +94,17 @@
         return suspect is not None and bool(suspect.crashes - suspect.refuted)
 
     def is_own(self, call: str) -> bool:
-        """Return whether the upstream of this daemon has crashed while such a call ran."""
+        """Return whether a crash of the upstream of this daemon was recorded for the call.
+
+        Crashes that an earlier incarnation of the daemon has stored count, too.
+        """
         return call in self._own
 
     def record_crash(self, now: float, calls: Iterable[str]) -> list[Suspect]:
         """Record a crash of the upstream of this daemon under these calls; return the changed rows.
 
-        A call that it had answered before is exempt once: when a data centre loses power, calls
-        that many callers make are running at most upstreams.
+        A call that the upstream had answered before is exempt once: when a data centre loses power,
+        calls that many callers make are running at most upstreams.
         """
         self._count += 1
         crash = f"{self._incarnation}/{self._count}"
@@ -113,7 +119,10 @@
         return changed
 
     def record_answer(self, now: float, call: str) -> list[Suspect]:
-        """Record that the upstream of this daemon answered a call; return the changed rows."""
+        """Record that the upstream of this daemon answered a call; return the changed rows.
+
+        The answer refutes all crashes known for this call.
+        """
         self._answered[call] = None
         self._answered.move_to_end(call)
         if len(self._answered) > MAX_ANSWERED:
@@ -143,7 +152,12 @@
         self.merge(now, rows)
 
     def rows(self, now: float, *, own: bool = False) -> list[Suspect]:
-        """Return the rows for a daemon that starts; with `own`, those to store for this daemon."""
+        """Return the rows to send to a daemon that connects.
+
+        These are calls with at least `CRASH_THRESHOLD` crashes, refuted or not, the last one less
+        than `MAX_QUARANTINE_S` ago. With `own`, only those that are quarantined now and have
+        crashed the upstream of this daemon, for the store.
+        """
         found: list[Suspect] = []
         for call, suspect in self._suspects.items():
             if own and not (call in self._own and self.remaining_s(now, call)):
