--- a/foldhoist/membership/registry.py
+++ b/foldhoist/membership/registry.py
@@ -316,8 +316,8 @@
         if own is not None and _is_present(own):
             found[own["service"]] = [Tracked(self.name, self.data_centre, own["slots"])]
         for service in self.neighbours.services:
-            local = self.neighbours.local(service, is_usable)
-            for name in local + self.neighbours.remote(service, is_usable):
+            local_peers = self.neighbours.local(service, is_usable)
+            for name in local_peers + self.neighbours.remote(service, is_usable):
                 peer = self.peers[name]
                 if peer.upstream is None or not _is_present(peer.upstream):
                     continue
--- a/foldhoist/routing/picker.py
+++ b/foldhoist/routing/picker.py
@@ -35,9 +35,9 @@
 EJECT_MIN_RESULTS = 3
 """Results needed before an upstream can be ejected."""
 EJECT_SLOW_FACTOR = 6.0
-"""An upstream this many times slower than the median of the others is ejected."""
+"""An upstream is ejected if its latency exceeds the median of the others by this factor."""
 EJECT_MIN_LATENCY_S = 0.01
-"""A latency below this never ejects an upstream, seconds."""
+"""An upstream with a latency below this is never ejected as slow, seconds."""
 FIRST_EJECTION_S = 0.5
 """Length of the first ejection, seconds; it doubles with each further one."""
 MAX_EJECTION_S = 30.0
@@ -63,7 +63,7 @@
 
 
 class Choice(NamedTuple):
-    """The chosen upstream, the reason, and the best candidates; none if not asked to explain."""
+    """The chosen upstream, the reason, and the best candidates (empty if not asked to explain)."""
 
     name: str
     reason: str
@@ -100,7 +100,7 @@
     def members(self, members: Iterable[Member], now: float) -> None:
         """Set the upstreams to choose from; known ones keep their statistics.
 
-        Upstreams added by a later call of this method go through slow start.
+        Upstreams added after the first call of this method go through slow start.
         """
         kept: dict[str, UpstreamStats] = {}
         for member in members:
@@ -122,8 +122,8 @@
     ) -> Pick:
         """Choose an upstream for one call, other than the excluded ones.
 
-        `remote_s` is the cost added to upstreams in another data centre, seconds. Without `explain`
-        the choice lists no candidates.
+        `remote_s` is the cost that the policy `Mixed` adds to upstreams in another data centre,
+        seconds of a call of `route`. Without `explain` the choice lists no candidates.
         """
         candidates: list[UpstreamStats] = []
         ejected: list[UpstreamStats] = []
@@ -236,7 +236,7 @@
         stats.backoff_until = max(stats.backoff_until, now + pause_s)
 
     def lost(self, name: str, seq: int, now: float) -> None:
-        """Record a call that ended without an answer or a refusal as failed."""
+        """Record as failed a call that ended without an answer or a refusal."""
         stats = self.tracks.get(name)
         if stats is None:
             return
@@ -245,7 +245,10 @@
             self._record_result(stats, now, now - sent.at, failed=True)
 
     def abandoned(self, name: str, seq: int, now: float) -> None:
-        """Record a call whose answer is no longer awaited, if it already took longer than usual."""
+        """Record that the answer of a call is no longer awaited.
+
+        Its time so far counts as a result if it is longer than the mean latency of the upstream.
+        """
         stats = self.tracks.get(name)
         sent = stats.ended(seq) if stats is not None else None
         if stats is not None and sent is not None and now - sent.at > stats.latency_s:
@@ -262,7 +265,7 @@
     def linked(self, name: str, now: float, up: bool, fresh: bool) -> None:
         """Record that the connection to the owner is up or down.
 
-        `fresh` marks a new incarnation, whose statistics start anew.
+        `fresh` with `up` marks a new incarnation, whose results and load start anew.
         """
         stats = self.tracks.get(name)
         if stats is None:
@@ -293,7 +296,7 @@
         stats.accepts_calls = load["state"] not in ("leaving", "down", "refusing")
 
     def _ready_for_trial(self, stats: UpstreamStats, now: float) -> UpstreamStats | None:
-        """Return the upstream if a trial call may be sent to it now."""
+        """Return the upstream if a trial call may be sent to it now, else None."""
         return (
             stats if stats.in_flight == 0 and now - stats.last_result_at >= TRIAL_PAUSE_S else None
         )
@@ -355,8 +358,8 @@
         ]
         if waits:
             return NoChoice("all-upstreams-full", min(waits))
-        linked = [stats for stats in self.tracks.values() if stats.connected]
-        if linked and all(stats.data_centre in self.evacuated for stats in linked):
+        connected = [stats for stats in self.tracks.values() if stats.connected]
+        if connected and all(stats.data_centre in self.evacuated for stats in connected):
             return NoChoice(ALL_EVACUATED, EVACUATED_RETRY_S)
         if any(stats.connected and stats.name in excluded for stats in self.tracks.values()):
             return NoChoice("no-other-upstream", 0.1)
--- a/foldhoist/routing/policies.py
+++ b/foldhoist/routing/policies.py
@@ -24,7 +24,7 @@
 MAX_RECORDED = 4
 """Maximum number of candidates in a decision record."""
 SIMILAR_FACTOR = 2.0
-"""Service times within this factor of the fastest count as equal; docs/design/choosing.md."""
+"""Service times up to this multiple of the shortest count as equal; docs/design/choosing.md."""
 TIE_TOLERANCE = 0.05
 """Scores within this share of the best count as equal; one of them is drawn at random."""
 
@@ -55,7 +55,7 @@
 class HotCold:
     """Picks the fastest of the cold upstreams, as Prequal does.
 
-    An upstream is hot if its occupancy is above the `quantile` of all. If none is hot but some may
+    An upstream is hot if its occupancy is above the `quantile` of all. If none is hot and one may
     be full, the least occupied is picked (Wydrowski and others, "Load is not what you should
     balance: introducing Prequal", NSDI 2024).
     """
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True)
 class Mixed:
-    """Picks the least expected time, from calls in flight, load reports, errors and distance."""
+    """Picks the least expected time, by latency, calls in flight, load, errors and distance."""
 
     data_centre: str = ""
     trust: Trust = field(default_factory=Trust)
@@ -76,7 +76,10 @@
 
 
 class Scored(NamedTuple):
-    """A candidate of a choice with its score and inputs; ages and times in seconds."""
+    """A candidate of a choice with its score and inputs; times in seconds.
+
+    `report_age_s` is -1 without a load report.
+    """
 
     name: str
     score: float
@@ -153,8 +156,8 @@
     `trust` weights the calls of other daemons, `remote_s` is added for another data centre, and
     `cold_s` is added for a cold upstream.
 
-    Service times close to the fastest count as equal to it, so that noise does not concentrate
-    calls on one upstream.
+    Service times up to `SIMILAR_FACTOR` times the shortest count as equal to it, so that noise does
+    not concentrate calls on one upstream.
     """
     times: list[float] = []
     for stats in candidates:
@@ -192,7 +195,7 @@
 def recorded_candidates(
     candidates: Sequence[UpstreamStats], chosen: UpstreamStats, scores: Sequence[float], now: float
 ) -> tuple[Scored, ...]:
-    """Return the best candidates for the decision record, always with the chosen one."""
+    """Return the candidates to record: those with the lowest scores, always with the chosen one."""
     best = sorted(range(len(candidates)), key=scores.__getitem__)[:MAX_RECORDED]
     at = candidates.index(chosen)
     if at not in best:
--- a/foldhoist/routing/routes.py
+++ b/foldhoist/routing/routes.py
@@ -47,7 +47,7 @@
 
 
 class RouteTable:
-    """The routes of one configuration by host, longest prefix first, and service prefixes."""
+    """The routes of one configuration by host, and prefixes of services, longest prefix first."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._by_host = _rules(fleet)
@@ -62,9 +62,10 @@
         )
 
     def find(self, method: str, path: str, host: str = ANY_HOST) -> RouteMatch | None:
-        """Return the service and options of a call, or None if no prefix matches.
+        """Return the service and options of a call, or None if nothing matches.
 
-        Routes of the host come before those of every host, and service prefixes come last.
+        `host` must be in lower case. Routes of this host come before those for any host; the
+        prefixes of services come last.
         """
         for name in (host, ANY_HOST) if host else (ANY_HOST,):
             for rule in self._by_host.get(name, ()):
--- a/foldhoist/routing/sampling.py
+++ b/foldhoist/routing/sampling.py
@@ -12,15 +12,18 @@
 CHANGE_FACTOR = 1.5
 """Minimum ratio of two paces that counts as a change."""
 LOSS_PER_CALL = 0.5
-"""Assumed loss of a call sent before a change of pace is seen, in calls."""
+"""Assumed loss, in calls, of a call that is sent before a change of pace is seen."""
 CALL_DECAY_S = 2.0
-"""Time constant of the call count, seconds; longer than an upstream is avoided for its pace."""
+"""Time constant of the call count, seconds.
+
+It exceeds the time for which ingresses avoid an upstream because of its pace.
+"""
 CHANGE_DECAY_S = 5.0
-"""Time constant of the count of pace changes, seconds."""
+"""Time constant of the count of pace changes, seconds of observation."""
 INITIAL_CHANGES_PER_S = 1.0
 """Rate of pace changes assumed before any was observed, per second."""
 MIN_INTERVAL_S = 0.025
-"""Minimum time between two samples, seconds; messages to peers take about as long."""
+"""Minimum time between two samples, seconds; a message to a peer takes about as long."""
 MAX_INTERVAL_S = 0.5
 """No samples are taken if the interval would be this long or longer, seconds."""
 FIRST_BACKOFF_S = 0.1
@@ -47,7 +50,7 @@
         self._retry_at = 0.0
 
     def record_call(self, now: float) -> None:
-        """Record a call for the upstream."""
+        """Count a call that came for the upstream."""
         self._calls = self._calls_at(now) + 1.0
         self._last_call_at = now
 
@@ -65,14 +68,14 @@
         self._pace_at = now
 
     def record_failure(self, now: float) -> None:
-        """Record that a sample failed, and back off."""
+        """Record that a sample failed; the next one is due after a pause."""
         self._retry_at = now + min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2.0**self._failures)
         self._failures += 1
 
     def next_at(self, now: float) -> float | None:
         """Return when the next sample is due; None while samples would cost more than they save.
 
-        An upstream that has never reported a pace is not sampled.
+        None also if samples are disabled or the upstream has never reported a pace.
         """
         if not self.cost_calls or not self._pace:
             return None
@@ -82,9 +85,10 @@
         return max(self._pace_at + interval_s, self._retry_at)
 
     def _interval_s(self, now: float) -> float:
-        """Return the time between two samples at which their cost equals the loss they avoid.
+        """Return the time between two samples that minimizes their cost plus the remaining loss.
 
-        A change stays unseen for half of the interval on average.
+        A change stays unseen for half of the interval on average, so the loss grows with the
+        interval while the cost falls; their sum is least where they are equal.
         """
         changes_per_s = (self._changes + INITIAL_CHANGES_PER_S) / (self._observed_s + 1.0)
         lost_per_s2 = LOSS_PER_CALL * self._calls_at(now) / CALL_DECAY_S * changes_per_s / 2.0
--- a/foldhoist/routing/split.py
+++ b/foldhoist/routing/split.py
@@ -10,14 +10,14 @@
     from foldhoist.routing.routes import WeightedService
 
 GOLDEN_RATIO = 0.6180339887498949
-"""Step between two draws, as a fraction of all weights; it spreads the draws evenly."""
+"""Step between two draws as a fraction of the sum of weights; it spreads the draws evenly."""
 
 
 class Split:
     """Draws services by weight from a low-discrepancy sequence.
 
-    The shares of few calls already come close to the weights. Each daemon starts at a random point,
-    so that the total over daemons comes close, too.
+    Even after a few calls the shares are close to the weights. Each daemon starts at a random
+    point, so that this also holds for the calls of all daemons together.
     """
 
     def __init__(self, parts: tuple[WeightedService, ...], rng: Random) -> None:
@@ -27,8 +27,8 @@
     def draw(self) -> str:
         """Return the service of the next call.
 
-        Load is not considered: a service without free capacity refuses the call, and the shares
-        hold under overload.
+        Load is not considered: the shares hold under overload, and a service without free capacity
+        refuses the call.
         """
         self._position = (self._position + GOLDEN_RATIO) % 1.0
         remaining = self._position * sum(part.weight for part in self.parts)
--- a/foldhoist/routing/times.py
+++ b/foldhoist/routing/times.py
@@ -13,7 +13,7 @@
 MIN_RESULTS = 5
 """Answers of a route needed before its own mean is used instead of the service's."""
 PACE_DECAY_S = 0.3
-"""Time constant of the decay of a reported pace, seconds."""
+"""Time constant with which a reported pace decays towards the mean, seconds."""
 USUAL_PACE = 100.0
 """Pace of an upstream at its usual speed, percent."""
 
@@ -71,7 +71,7 @@
     def factor(self, pace: int, age_s: float) -> float:
         """Return the expected service time relative to the mean; 1 if `pace` is 0, unknown.
 
-        `age_s` is the age of the report, less the time for which it holds undecayed.
+        `age_s` is the age of the report, less the time for which it does not decay.
         """
         if not pace:
             return 1.0
--- a/foldhoist/routing/trust.py
+++ b/foldhoist/routing/trust.py
@@ -7,7 +7,7 @@
 
 
 class Trust:
-    """Compares the load report with the running mean as a prediction of other daemons' calls.
+    """Compares load reports with a running mean as predictions of the calls of other daemons.
 
     `weight` is 0 while reports predict no better than the mean, which happens if they are late or
     wrong; upstreams are then compared by own calls in flight alone. It is 1 once the error of
@@ -23,7 +23,10 @@
         self._mean_error = 0.0
 
     def update(self, own: int, others: float, ahead: int) -> None:
-        """Add an answer: the calls estimated when it was sent, and the `ahead` calls it met."""
+        """Add an answer, with the calls at the upstream before the answered one.
+
+        `own` and `others` were known and estimated when it was sent; `ahead` were found there.
+        """
         met = max(0, ahead - own)
         self._report_error += SMOOTHING * (abs(others - met) - self._report_error)
         self._mean_error += SMOOTHING * (abs(self._mean - met) - self._mean_error)
--- a/foldhoist/routing/upstream_stats.py
+++ b/foldhoist/routing/upstream_stats.py
@@ -30,9 +30,9 @@
 
 
 class UpstreamStats:
-    """Statistics of one upstream; times are monotonic seconds.
+    """Statistics of one upstream; `now` is monotonic time in seconds.
 
-    `errors` is the running share of failed calls, and `other_calls` the calls of other daemons in
+    `errors` is the running share of failed calls, and `other_calls` the calls of other daemons by
     the last load report. `trial_left` counts the trial calls that must still succeed after an
     ejection.
     """
@@ -106,7 +106,7 @@
         self.other_calls = max(0, load["busy"] + load["queued"] - self.in_flight)
 
     def record_result(self, now: float, latency_s: float, failed: bool) -> None:
-        """Add one result to the running means; `latency_s` is the time of the whole attempt."""
+        """Add one result to the running means; `latency_s` is the time of the attempt, seconds."""
         self.errors = self.decayed_errors(now)
         self.last_result_at = now
         self.results += 1
@@ -132,7 +132,7 @@
         return 0.0
 
     def service_s(self, now: float) -> float:
-        """Return the expected time of a call, at least the age of the oldest one in flight."""
+        """Return the expected time of a call, seconds, at least the age of the oldest in flight."""
         known = self.latency_s if self.results else UNKNOWN_SERVICE_S
         if now - self.last_result_at > STALE_S:
             known = max(min(known, UNKNOWN_SERVICE_S), known * self.decay(now))
@@ -147,7 +147,7 @@
         return self.other_calls * exp(-LN_2 * (now - self.load_at) / REPORT_HALF_LIFE_S)
 
     def occupancy(self, now: float, trust: float = 1.0) -> float:
-        """Return the expected calls at the upstream: own ones, and others weighted by `trust`."""
+        """Return the expected calls at the upstream: own ones, and others times `trust`."""
         if not self.other_calls:
             return float(self.in_flight)
         return self.in_flight + trust * self.decayed_other_calls(now)
