--- a/foldhoist/routing/picker.py
+++ b/foldhoist/routing/picker.py
@@ -358,8 +358,8 @@
         ]
         if waits:
             return NoChoice("all-upstreams-full", min(waits))
-        connected = [stats for stats in self.tracks.values() if stats.connected]
-        if connected and all(stats.data_centre in self.evacuated for stats in connected):
+        upstreams = [stats for stats in self.tracks.values() if stats.connected]
+        if upstreams and all(stats.data_centre in self.evacuated for stats in upstreams):
             return NoChoice(ALL_EVACUATED, EVACUATED_RETRY_S)
         if any(stats.connected and stats.name in excluded for stats in self.tracks.values()):
             return NoChoice("no-other-upstream", 0.1)
