--- a/bench/leaving.py
+++ b/bench/leaving.py
@@ -44,7 +44,7 @@
         await asyncio.sleep(1 / RATE)
         if word is None and loop.time() > began + 1.0:
             said_at = time.monotonic()
-            word = loop.create_task(asyncio.to_thread(fleet.say_leaving, "depo-1", source))
+            word = loop.create_task(asyncio.to_thread(fleet.signal_leaving, "depo-1", source))
         if number % 3 == 0:
             found = await asyncio.to_thread(fleet.executions, "depo-1")
             count = sum(found["executions"].values())
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what lies outside the project: platform, upstream, fault proxy."""
+"""Test doubles for the systems around a daemon: platform, upstream, caller, faulty network."""
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,4 +1,4 @@
-"""A caller: keeps connections to some addresses and tells what became of each call."""
+"""A caller: keeps a pool of connections per address and returns the outcome of each call."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 import httptools
 
-MOST_IDLE = 64
-"""Unused connections kept for one address."""
+MAX_IDLE = 64
+"""Idle connections kept for one address."""
 
 
 class Outcome(NamedTuple):
-    """What a caller saw; `verdict` is "none" without a whole answer, times are seconds."""
+    """Outcome of a call; `verdict` is "none" without a complete answer, `seconds` its duration."""
 
     status: int
     verdict: str
@@ -34,7 +34,7 @@
         self.parser = httptools.HttpResponseParser(self)
         self.headers: dict[str, str] = {}
         self.body = b""
-        self.whole = False
+        self.complete = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -54,7 +54,7 @@
         self.body += body
 
     def on_message_complete(self) -> None:
-        self.whole = True
+        self.complete = True
         self.finish()
 
     def finish(self) -> None:
@@ -63,7 +63,7 @@
 
 
 class Caller:
-    """Sends calls; connections are reused after whole answers."""
+    """Sends calls; a connection is reused after a complete answer unless the server closes it."""
 
     def __init__(self) -> None:
         self._idle: dict[str, deque[_Connection]] = {}
@@ -77,7 +77,7 @@
         headers: dict[str, str] | None = None,
         timeout_s: float = 30.0,
     ) -> Outcome:
-        """Send one call and wait for what becomes of it."""
+        """Send one call and return its outcome; waits up to `timeout_s` for the answer."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         conn = await self._connection(address)
@@ -105,7 +105,7 @@
                     conn.transport.abort()
 
     def _outcome(self, address: str, conn: _Connection, seconds: float) -> Outcome:
-        if not conn.whole:
+        if not conn.complete:
             return Outcome(0, "none", "connection-lost", "", b"", seconds)
         headers = conn.headers
         if headers.get("connection") != "close" and conn.transport is not None:
--- a/standins/examples.py
+++ b/standins/examples.py
@@ -1,4 +1,4 @@
-"""Runs an example deployment on this machine, on ports that the system chooses."""
+"""Loads an example deployment to run it on this machine, on free ports."""
 
 from __future__ import annotations
 
@@ -10,11 +10,14 @@
 from standins.processes import LocalFleet, Target
 
 EXAMPLES = Path(__file__).resolve().parent.parent / "examples"
-"""Where the example deployments are."""
+"""Folder of the example deployments."""
 
 
 def load_example(name: str, settings: str = "", service_ms: float = 4.0) -> LocalFleet:
-    """Return a fleet made from an example's configuration; it is not started yet."""
+    """Return a fleet with an example's configuration; upstreams and daemons are not started.
+
+    `service_ms` is the mean service time. Raises ValueError if the configuration has errors.
+    """
     path = EXAMPLES / name / "fleet.ini"
     text = path.read_text(encoding="utf-8")
     fleet, faults = parse_fleet(text, str(path))
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,7 +1,7 @@
 """A stand-in for the platform: an append-only log with offsets, and a lagging host list.
 
-About a hundred appends a second, limited retention, outages, slowness and lost answers;
-`POST /control` with JSON changes them.
+Appends are rate-limited and retention is bounded. `POST /control` with a JSON object sets the
+fields of `Platform`: outages, delays, lost answers, lag of the host list.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 from foldhoist.admission.bucket import TokenBucket
 
 APPENDS_PER_S = 100.0
-"""Appends a second that the platform takes."""
+"""Rate limit of appends, per second, and burst; further appends get status 429."""
 
 
 class Stream:
-    """Records of one stream; the oldest ones go."""
+    """Records of one stream with the times of their appends; expired ones are dropped."""
 
     def __init__(self) -> None:
         self.first = 0
         self.records: list[tuple[float, bytes]] = []
 
     def append(self, data: bytes) -> int:
-        """Add a record; return its offset."""
+        """Append a record; returns its offset."""
         self.records.append((time.monotonic(), data))
         return self.first + len(self.records) - 1
 
     def expire(self, keep_s: float) -> None:
-        """Drop the records that are older than this."""
+        """Drop the records older than this, seconds."""
         limit = time.monotonic() - keep_s
         while self.records and self.records[0][0] < limit:
             self.records.pop(0)
@@ -45,7 +45,7 @@
 
 
 class Platform:
-    """State of the stand-in."""
+    """State and injected faults of the stand-in."""
 
     def __init__(self, keep_s: float) -> None:
         self.keep_s = keep_s
@@ -62,19 +62,19 @@
         self.bucket = TokenBucket(APPENDS_PER_S, APPENDS_PER_S, time.monotonic())
 
     def change(self, fields: dict[str, Any]) -> None:
-        """Set some fields, or host states under `hosts`."""
+        """Set fields by name; states under `hosts` enter the host list after its lag."""
         for name, state in fields.pop("hosts", {}).items():
             self.hosts.setdefault(name, []).append((time.monotonic(), state))
         for name, value in fields.items():
             setattr(self, name, value)
 
     def host(self, name: str) -> str:
-        """Return the state of a host as the lagging list shows it."""
-        shown = "live"
+        """Return the state of a host as the host list shows it, `lag_s` late."""
+        listed = "live"
         for at, state in self.hosts.get(name, []):
             if time.monotonic() - at >= self.lag_s:
-                shown = state
-        return shown
+                listed = state
+        return listed
 
 
 class _Handler(RequestHandler):
@@ -144,7 +144,7 @@
 
 
 async def serve(platform: Platform, address: str) -> None:
-    """Serve until cancelled; prints the address as one JSON line."""
+    """Serve until cancelled; prints the bound address as one JSON line."""
     shared = {"platform": platform}
     app = Application(
         [
@@ -167,7 +167,7 @@
     """Run a platform stand-in.
 
     :param listen: Address to listen on.
-    :param keep_s: How long records are kept, seconds.
+    :param keep_s: Retention of records, seconds.
     """
     asyncio.run(serve(Platform(keep_s), listen))
 
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Starts stand-ins and daemons as processes on loopback, and stops just those."""
+"""Starts stand-ins and daemons as processes on loopback, and stops those processes only."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 from standins.ports import reusable_address
 
-START_S = 60.0
-"""Longest wait for a process to say that it listens, seconds."""
+START_TIMEOUT_S = 60.0
+"""Longest wait for a process to listen and for a command to finish, seconds."""
 
 
 class Target(NamedTuple):
-    """A target of a local fleet."""
+    """A target of a local fleet and the mean service time and spread of its upstream."""
 
     name: str
     service: str
@@ -42,25 +42,27 @@
         )
 
     def ready(self) -> dict[str, Any]:
-        """Wait for the line and return it."""
+        """Wait for the line and return it decoded; raises RuntimeError if it does not come."""
         assert self.popen.stdout is not None
         with selectors.DefaultSelector() as selector:
             selector.register(self.popen.stdout, selectors.EVENT_READ)
-            if not selector.select(START_S):
-                raise RuntimeError("process did not get ready in time")
+            if not selector.select(START_TIMEOUT_S):
+                raise RuntimeError(f"process printed no ready line in {START_TIMEOUT_S:.0f} s")
         line = self.popen.stdout.readline()
         if not line:
-            raise RuntimeError(f"process ended at its start: {Path(self._log.name).read_text()}")
-        told: dict[str, Any] = json.loads(line)
-        return told
+            raise RuntimeError(
+                f"process exited before it was ready: {Path(self._log.name).read_text()}"
+            )
+        message: dict[str, Any] = json.loads(line)
+        return message
 
     def signal(self, number: int) -> None:
-        """Send a signal to this process only."""
+        """Send a signal to the process if it is running."""
         if self.popen.poll() is None:
             os.kill(self.popen.pid, number)
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill the process and wait for its exit."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
         self.popen.wait()
@@ -69,19 +71,19 @@
             self.popen.stdout.close()
 
     def wait(self, timeout_s: float) -> int:
-        """Wait for its end; return its exit code."""
+        """Wait for the process to exit; returns its exit code."""
         return self.popen.wait(timeout_s)
 
 
 def request_json(url: str, body: Any = None) -> Any:
-    """Ask a stand-in or a daemon."""
+    """Send a GET, or a POST if a body is given; returns the decoded JSON answer."""
     data = json.dumps(body).encode() if body is not None else None
     with urllib.request.urlopen(urllib.request.Request(url, data=data), timeout=10) as answer:
         return json.loads(answer.read())
 
 
 class LocalFleet:
-    """A platform, upstreams and daemons on this machine, and their configuration."""
+    """A platform, upstreams and daemons as local processes, and their configuration."""
 
     def __init__(
         self,
@@ -102,10 +104,10 @@
         self.daemons: dict[str, Process] = {}
         self.addresses: dict[str, dict[str, str]] = {}
         self.overrides: dict[str, dict[str, str]] = {}
-        self.upstream_through: dict[str, str] = {}
+        self.upstream_proxies: dict[str, str] = {}
         self.states: dict[str, str] = {}
         self.platform_address = ""
-        self.platform_through = ""
+        self.platform_proxy = ""
         args = ["standins.platform", "--keep-s", str(keep_s)]
         self.platform = Process(args, self.folder / "platform.log")
 
@@ -140,7 +142,7 @@
             self.addresses[name] = process.ready()["addresses"]
 
     def launch_upstream(self, name: str) -> Process:
-        """Start one upstream; it listens where it listened before, if it did."""
+        """Start one upstream, on its previous address after a restart."""
         target = self.targets[name]
         listen = self.upstream_address.get(name) or reusable_address()
         args = ["standins.upstream", "--listen", listen]
@@ -151,7 +153,7 @@
         return process
 
     def launch_daemon(self, name: str) -> Process:
-        """Start one daemon; it listens where it listened before, if it did."""
+        """Start one daemon, on its previous addresses after a restart."""
         path = self.folder / f"{name}.ini"
         path.write_text(self.settings_of(name))
         process = Process(["foldhoist", "daemon", str(path)], self.folder / f"{name}.log")
@@ -159,7 +161,7 @@
         return process
 
     def restart_daemon(self, name: str) -> None:
-        """Start a daemon again, with nothing, and wait until it listens."""
+        """Start a daemon again, with no state, and wait until it listens."""
         self.launch_daemon(name).ready()
 
     def settings_of(self, name: str) -> str:
@@ -170,8 +172,8 @@
         seeds = ", ".join(
             found["control"] for other, found in self.addresses.items() if other != name
         )
-        platform = self.platform_through or self.platform_address
-        upstream = self.upstream_through.get(name, self.upstream_address[name])
+        platform = self.platform_proxy or self.platform_address
+        upstream = self.upstream_proxies.get(name, self.upstream_address[name])
         return SETTINGS.format(
             name=name,
             data_centre=self.targets[name].data_centre,
@@ -210,7 +212,7 @@
             capture_output=True,
             text=True,
             check=False,
-            timeout=START_S,
+            timeout=START_TIMEOUT_S,
         )
 
     def status(self, name: str) -> Any:
@@ -218,25 +220,25 @@
         return request_json(f"http://{self.addresses[name]['operators']}/status")
 
     def wait_generation(self, generation: int, names: list[str] | None = None) -> None:
-        """Wait until every daemon has a generation in force, and connections to its upstreams."""
+        """Wait until the daemons, by default all, have a generation in force and their links up."""
         for name in names if names is not None else list(self.daemons):
             wait_until(lambda name=name: self._is_ready(name, generation))
 
     def _is_ready(self, name: str, generation: int) -> bool:
         status = self.status(name)
-        linked = all(row["linked"] for row in status["upstreams"])
-        return bool(status["configuration"]["generation"] >= generation and linked)
+        connected = all(row["linked"] for row in status["upstreams"])
+        return bool(status["configuration"]["generation"] >= generation and connected)
 
     def control_upstream(self, name: str, **fields: Any) -> None:
-        """Change the behaviour of an upstream."""
+        """Set fields of the behaviour of an upstream."""
         request_json(f"http://{self.upstream_address[name]}/_control", fields)
 
     def executions(self, name: str) -> Any:
-        """Return what an upstream ran."""
+        """Return the execution counts of an upstream."""
         return request_json(f"http://{self.upstream_address[name]}/_executions")
 
     def runs(self) -> dict[str, int]:
-        """Return how often each request id was run, over all upstreams and all their lives."""
+        """Return the number of executions by request id, over all upstreams and their restarts."""
         counts: dict[str, int] = {}
         for name in self.targets:
             path = self.folder / f"{name}.journal"
@@ -245,7 +247,7 @@
         return counts
 
     def control_platform(self, **fields: Any) -> None:
-        """Change the behaviour of the platform."""
+        """Set fields of the platform stand-in."""
         request_json(f"http://{self.platform_address}/control", fields)
 
     def post(self, url: str, data: bytes) -> None:
@@ -253,8 +255,8 @@
         with urllib.request.urlopen(urllib.request.Request(url, data=data), timeout=10):
             return
 
-    def say_leaving(self, name: str, source: str) -> None:
-        """Let one source say that a target is leaving; the others say that all is well."""
+    def signal_leaving(self, name: str, source: str) -> None:
+        """Make one source report that a target is leaving; the other sources keep their state."""
         match source:
             case "upstream health":
                 self.control_upstream(name, health_state="leaving")
@@ -276,7 +278,10 @@
 
 
 def wait_until(is_true: Any, timeout_s: float = 60.0, pause_s: float = 0.02) -> None:
-    """Wait until a condition holds; an error counts as not yet."""
+    """Poll until a condition holds; OSError, ValueError and KeyError count as not yet.
+
+    Raises TimeoutError with the last error as its cause.
+    """
     limit = time.monotonic() + timeout_s
     last: Exception | None = None
     while time.monotonic() < limit:
@@ -287,7 +292,7 @@
         except (OSError, ValueError, KeyError) as exc:
             last = exc
         time.sleep(pause_s)
-    raise TimeoutError(f"condition did not come true in {timeout_s} s") from last
+    raise TimeoutError(f"condition not met in {timeout_s} s") from last
 
 
 LISTEN = ("callers", "frames", "control", "operators")
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy that injects faults: delay, cut, freeze, silence in one direction, slow bytes."""
+"""A TCP proxy that injects faults: delay, reset, freeze, loss in one direction, slow delivery."""
 
 from __future__ import annotations
 
@@ -7,11 +7,14 @@
 from typing import Any
 
 CHUNK = 65536
-"""Bytes read at once."""
+"""Largest read, bytes."""
 
 
 class Faults:
-    """What the proxy does to bytes; directions are named from the connecting side."""
+    """Faults of the proxy; "forth" is from the connecting side to the target, "back" the reverse.
+
+    `slow_bytes` is the size of the pieces of which one is sent per millisecond; 0 sends at once.
+    """
 
     def __init__(self) -> None:
         self.delay_s = 0.0
@@ -23,7 +26,7 @@
 
 
 class FaultProxy:
-    """Listens on loopback and forwards to one address, in a thread with its own event loop."""
+    """Listens on loopback and forwards to one address; runs in a thread with its own event loop."""
 
     def __init__(self, to: str) -> None:
         self.to = to
@@ -38,11 +41,11 @@
         self._call(self._listen())
 
     def cut(self) -> None:
-        """Cut every connection now."""
+        """Abort every connection."""
         self._call(self._cut())
 
     def close(self) -> None:
-        """Stop the proxy."""
+        """Abort every connection and stop the proxy."""
         self._call(self._close())
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
@@ -84,15 +87,15 @@
     ) -> None:
         try:
             while data := await reader.read(CHUNK):
-                await self._pass(data, writer, forth)
+                await self._forward(data, writer, forth)
         except (OSError, asyncio.IncompleteReadError):
             pass
-        writer.transport.abort() if self._is_broken(writer) else writer.close()
+        writer.transport.abort() if self._is_closing(writer) else writer.close()
 
-    def _is_broken(self, writer: asyncio.StreamWriter) -> bool:
+    def _is_closing(self, writer: asyncio.StreamWriter) -> bool:
         return writer.transport.is_closing()
 
-    async def _pass(self, data: bytes, writer: asyncio.StreamWriter, forth: bool) -> None:
+    async def _forward(self, data: bytes, writer: asyncio.StreamWriter, forth: bool) -> None:
         faults = self.faults
         while faults.frozen:
             await asyncio.sleep(0.005)
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -1,6 +1,7 @@
-"""A stand-in for an upstream: answers with what it was asked, counts what it ran.
+"""A stand-in for an upstream: echoes request bodies and counts executions.
 
-`POST /_control` with JSON changes its behaviour; `GET /_executions` tells what it ran.
+`POST /_control` with a JSON object sets the fields of `Behaviour`; `GET /_executions` returns the
+counts.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class Behaviour:
-    """How the stand-in behaves; times in milliseconds."""
+    """Behaviour, injected faults and counts of the stand-in; times in milliseconds."""
 
     def __init__(self) -> None:
         self.service_ms = 2.0
@@ -39,18 +40,18 @@
         self.journal = -1
 
     def change(self, fields: dict[str, Any]) -> None:
-        """Set some fields."""
+        """Set fields by name."""
         for name, value in fields.items():
             setattr(self, name, value)
 
     def ran(self, request_id: str) -> None:
-        """Count one run; with a journal it is kept beyond the end of this process."""
+        """Count one execution; a journal file keeps its request id after the process ends."""
         self.executions[request_id] += 1
         if self.journal >= 0:
             os.write(self.journal, f"{request_id}\n".encode())
 
     def service_s(self) -> float:
-        """Return the time of the next call, seconds."""
+        """Return the service time of the next call, seconds."""
         if not self.spread:
             return self.service_ms / 1000
         return self.service_ms / 1000 * (1 - self.spread + self.spread * self.rng.expovariate(1.0))
@@ -98,7 +99,7 @@
             self.behaviour.change(json.loads(self.body))
             self.write(200, b"{}")
         elif path.startswith("/_executions"):
-            self.write(200, self.told())
+            self.write(200, self.counts())
         elif path.startswith("/health"):
             self.behaviour.health_probes += 1
             self.write(200, json.dumps({"state": self.behaviour.health_state}).encode())
@@ -106,7 +107,7 @@
             loop = asyncio.get_running_loop()
             self.task = loop.create_task(self.run(method, path, dict(self.headers), self.body))
 
-    def told(self) -> bytes:
+    def counts(self) -> bytes:
         behaviour = self.behaviour
         return json.dumps(
             {
@@ -158,7 +159,7 @@
 
 
 async def serve(behaviour: Behaviour, address: str) -> None:
-    """Serve until cancelled; prints the address as one JSON line."""
+    """Serve until cancelled; prints the bound address as one JSON line."""
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     server = await loop.create_server(lambda: _Connection(behaviour), host, int(port), backlog=512)
@@ -178,9 +179,9 @@
     """Run an upstream stand-in.
 
     :param listen: Address to listen on.
-    :param service_ms: Mean time of a call, milliseconds.
-    :param spread: Share of that time that is drawn by lot, 0 to 1.
-    :param journal: File to which the id of each run is appended at its start; empty for none.
+    :param service_ms: Mean service time of a call, milliseconds.
+    :param spread: Share of that time that is random (exponential), 0 to 1.
+    :param journal: File to which each request id is appended when it starts; empty for none.
     """
     behaviour = Behaviour()
     if journal:
--- a/tests/integration/test_leaving.py
+++ b/tests/integration/test_leaving.py
@@ -40,7 +40,7 @@
         daemons = ("depo-2", "depo-3")
         asyncio.run(load(fleet, 100, 10, ingresses=daemons, prefix="before"))
         assert fleet.executions("depo-1")["executions"], "depo-1 had no calls before"
-        fleet.say_leaving("depo-1", source)
+        fleet.signal_leaving("depo-1", source)
         asyncio.run(load(fleet, 100, 10, ingresses=daemons, prefix="between"))
         seen = wait_for_word(fleet)
         before = sum(fleet.executions("depo-1")["executions"].values())
