--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: each measures over real processes or the core objects, and writes its results."""
+"""Benchmarks over daemon processes or core objects; each writes its results to a file."""
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,8 +1,8 @@
-"""Slopes of what a daemon costs, and the page docs/CAPACITY.md that follows from them.
+"""Measures how the cost of a daemon grows, and writes docs/CAPACITY.md.
 
-Each slope is measured at several sizes and fitted with a straight line; the page multiplies it by
-the size of the users' target. `python -m bench.capacity measure` measures, `page` writes the page
-from the results kept, nothing does both.
+Each cost is measured at several sizes and fitted with a straight line, which the page evaluates at
+the target size. `python -m bench.capacity measure [NAME...]` measures all parts or those named,
+`page` writes the page from stored results, no argument does both.
 """
 
 from __future__ import annotations
@@ -22,30 +22,30 @@
     "calls": capacity_slopes.calls,
     "tracked": capacity_slopes.tracked,
     "fleet": capacity_slopes.fleet_size,
-    "big": capacity_slopes.big,
+    "big": capacity_slopes.adoption,
     "links": capacity_slopes.links,
     "idle": capacity_slopes.idle,
     "messages": capacity_slopes.messages,
     "keys": capacity_slopes.keys,
-    "spread": capacity_spread.spread_of_a_change,
+    "spread": capacity_spread.propagation,
 }
-"""What is measured, in this order; each part can be measured alone."""
+"""Parts in the order of measurement, by their names in the results."""
 
 
 def measure(names: list[str]) -> None:
-    """Measure some parts, or all, and keep the results."""
+    """Measure the named parts, by default all, and merge them into the stored results."""
     path = RESULTS / "capacity.json"
-    kept: dict[str, Any] = json.loads(path.read_text()) if path.exists() else {}
-    kept.pop("machine", None)
+    results: dict[str, Any] = json.loads(path.read_text()) if path.exists() else {}
+    results.pop("machine", None)
     for name in names or list(PARTS):
         began = time.monotonic()
-        kept[name] = {"at": time.strftime("%Y-%m-%d"), **PARTS[name]()}
+        results[name] = {"at": time.strftime("%Y-%m-%d"), **PARTS[name]()}
         print(f"{name}: measured in {time.monotonic() - began:.0f} s", flush=True)
-        write_results("capacity", kept)
+        write_results("capacity", results)
 
 
 def main() -> None:
-    """Measure, write the page, print each row against its ceiling."""
+    """Run the steps that the command line selects."""
     what, names = (sys.argv[1], sys.argv[2:]) if len(sys.argv) > 1 else ("all", [])
     if what in ("all", "measure"):
         measure(names)
--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -1,4 +1,4 @@
-"""Writes docs/CAPACITY.md from the slopes kept in bench/results: every figure comes from there."""
+"""Writes docs/CAPACITY.md from the results in bench/results."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 CHANGES_A_DAY, DEPTH, DAY_S = 490, 29, 86_400
 READERS, POLL_S, FANOUT, ASKS_PER_S, TRACK = 3, 0.4, 8, 1.0, 12
 KEY_ANSWERS_MB, KEPT_RESULTS_MB, BODIES_MB = 34, 34, 3 * 34
-"""Bounds of 32 MiB each, megabytes; bodies for callers, for the upstream, and answers unread."""
+"""Memory bounds, megabytes, 32 MiB each; bodies to callers, to the upstream, and unread answers."""
 HOSTS_POLL_S, KEEP_S, ATTEMPTS, RETRY_SHARE = 2.0, 3600.0, 3, 0.1
 
 
 class Row(NamedTuple):
-    """A figure at the target's size beside its ceiling; no ceiling is 0."""
+    """A value at the target size and its ceiling; 0 stands for no ceiling."""
 
     what: str
     value: float
@@ -30,7 +30,7 @@
 
     @property
     def fits(self) -> str:
-        """Return whether it fits, and how far it is from its ceiling."""
+        """Return whether the value is within its ceiling, and their ratio."""
         if not self.ceiling:
             return "no ceiling given"
         factor = self.value / self.ceiling
@@ -38,23 +38,23 @@
 
 
 def at(line: dict[str, Any], size: float) -> float:
-    """Return a fitted line at a size."""
+    """Evaluate a fitted line at a size."""
     return float(line["base"] + line["slope"] * size)
 
 
-def rows_of(found: dict[str, Any], latency: dict[str, Any]) -> list[Row]:
-    """Return every row at the target's size."""
+def rows_of(results: dict[str, Any], latency: dict[str, Any]) -> list[Row]:
+    """Return all rows at the target size, the largest share of its ceiling first."""
     per_daemon = CALLS_PER_S / DAEMONS
-    idle, big, sizes = found["idle"], found["big"], found["messages"]["bytes"]
-    calls = found["calls"]
+    idle, big, sizes = results["idle"], results["big"], results["messages"]["bytes"]
+    calls = results["calls"]
     per_call = calls["ingress_us_per_s"]["slope"] + calls["owner_us_per_s"]["slope"]
     change_s = at(big["adopt_ms"], DAEMONS) / 1000
     control = idle["most"]["core_share"] + CHANGES_A_DAY / DAY_S * change_s
-    snapshot = at(found["fleet"]["snapshot_bytes"], DAEMONS)
+    snapshot = at(results["fleet"]["snapshot_bytes"], DAEMONS)
     asks = ASKS_PER_S * (sizes["Ask"] + sizes["Held"])
     passed = CHANGES_A_DAY / DAY_S * snapshot * FANOUT
-    links = 2 * SERVICES * TRACK * found["links"]["frames_mb"]["slope"]
-    keys = at(found["keys"]["memory_mb"], 50_000) + KEY_ANSWERS_MB
+    links = 2 * SERVICES * TRACK * results["links"]["frames_mb"]["slope"]
+    keys = at(results["keys"]["memory_mb"], 50_000) + KEY_ANSWERS_MB
     memory = at(big["rss_mb"], DAEMONS) + links + keys + KEPT_RESULTS_MB + BODIES_MB
     row300 = next((row for row in latency["rows"] if row["rate"] == 300), latency["rows"][-1])
     added = row300["added_us"]["p99"]["median"] / 1000
@@ -65,7 +65,7 @@
         Row(
             "control, bytes sent by a relay", (asks + passed) / 1000, 10, "KB/s", "messages, fleet"
         ),
-        Row("a change in force everywhere", spread_at_target(found), 3, "s", "spread, big"),
+        Row("a change in force everywhere", spread_at_target(results), 3, "s", "spread, big"),
         Row("platform, appends", appends_per_s(), 100, "1/s", "490 changes a day, keep_s"),
         Row("platform, reads of the log", READERS * CENTRES / POLL_S, 0, "1/s", "poll_ms"),
         Row("platform, reads of the host list", DAEMONS / HOSTS_POLL_S, 0, "1/s", "hosts_poll_ms"),
@@ -76,7 +76,7 @@
 
 
 def appends_per_s() -> float:
-    """Return the appends to the log a second: changes, and states written again."""
+    """Return the appends to the log per second: changes and rewritten snapshots."""
     return CHANGES_A_DAY / DAY_S + 1 / KEEP_S
 
 
@@ -90,30 +90,33 @@
     return hops
 
 
-def spread_at_target(found: dict[str, Any]) -> float:
-    """Return the seconds until the last daemon: as measured, one more hop, a larger file."""
-    case = [each for each in found["spread"]["cases"] if each["case"] == "all"][-1]
+def spread_at_target(results: dict[str, Any]) -> float:
+    """Return the time until the last daemon adopts a change, seconds.
+
+    Adds further relay hops and the larger configuration to the slowest measured time.
+    """
+    case = [each for each in results["spread"]["cases"] if each["case"] == "all"][-1]
     hop = max(0.0, case["last_s"]["median"] - POLL_S)
-    larger = (at(found["big"]["adopt_ms"], DAEMONS) - at(found["big"]["adopt_ms"], 140)) / 1000
+    larger = (at(results["big"]["adopt_ms"], DAEMONS) - at(results["big"]["adopt_ms"], 140)) / 1000
     return float(case["last_s"]["most"] + (relay_hops() - 1) * hop + larger)
 
 
-def slope_rows(found: dict[str, Any]) -> list[str]:
-    """Return a table row for each slope, with its error and range."""
+def slope_rows(results: dict[str, Any]) -> list[str]:
+    """Return a table row for each fitted line, with the slope's error and the measured range."""
     named = [
-        ("processor of an ingress, us a call", found["calls"]["ingress_us_per_s"]),
-        ("processor of an owner, us a call", found["calls"]["owner_us_per_s"]),
-        ("one choice, us an upstream tracked", found["tracked"]["pick_us"]),
-        ("memory, MB a connection of an ingress", found["links"]["frames_mb"]),
-        ("memory, MB a connection of a caller", found["links"]["callers_mb"]),
-        ("resident memory, MB a target of the configuration", found["big"]["rss_mb"]),
-        ("adopting a change, ms a target", found["big"]["adopt_ms"]),
-        ("reading a changed configuration, ms a target", found["fleet"]["change_ms"]),
-        ("reading a new configuration, ms a target", found["fleet"]["parse_ms"]),
-        ("placing and tracking, ms a target", found["fleet"]["place_ms"]),
-        ("a generation on the wire, bytes a target", found["fleet"]["snapshot_bytes"]),
-        ("memory, MB an idempotency key", found["keys"]["memory_mb"]),
-        ("time to all, s a daemon", found["spread"]["last_s"]),
+        ("processor of an ingress, us a call", results["calls"]["ingress_us_per_s"]),
+        ("processor of an owner, us a call", results["calls"]["owner_us_per_s"]),
+        ("one choice, us an upstream tracked", results["tracked"]["pick_us"]),
+        ("memory, MB a connection of an ingress", results["links"]["frames_mb"]),
+        ("memory, MB a connection of a caller", results["links"]["callers_mb"]),
+        ("resident memory, MB a target of the configuration", results["big"]["rss_mb"]),
+        ("adopting a change, ms a target", results["big"]["adopt_ms"]),
+        ("reading a changed configuration, ms a target", results["fleet"]["change_ms"]),
+        ("reading a new configuration, ms a target", results["fleet"]["parse_ms"]),
+        ("placing and tracking, ms a target", results["fleet"]["place_ms"]),
+        ("a generation on the wire, bytes a target", results["fleet"]["snapshot_bytes"]),
+        ("memory, MB an idempotency key", results["keys"]["memory_mb"]),
+        ("time to all, s a daemon", results["spread"]["last_s"]),
     ]
     return [
         f"| {what} | {line['base']:.4g} | {line['slope']:.4g} | {line['error']:.2g} | "
@@ -122,10 +125,10 @@
     ]
 
 
-def spread_rows(found: dict[str, Any]) -> list[str]:
-    """Return a table row for each case of the spread."""
+def spread_rows(results: dict[str, Any]) -> list[str]:
+    """Return a table row for each case of the propagation of a change."""
     rows = []
-    for case in found["spread"]["cases"]:
+    for case in results["spread"]["cases"]:
         last, middle = case["last_s"], case["median_s"]
         rows.append(
             f"| {case['daemons']} | {case['case']} | {middle['median']:.2f} | "
@@ -134,9 +137,9 @@
     return rows
 
 
-def page(found: dict[str, Any], latency: dict[str, Any]) -> str:
-    """Return the page."""
-    rows = rows_of(found, latency)
+def page(results: dict[str, Any], latency: dict[str, Any]) -> str:
+    """Return the text of the page."""
+    rows = rows_of(results, latency)
     table = "\n".join(
         f"| {row.what} | {row.value:.3g} {row.unit} | "
         f"{f'{row.ceiling:g} {row.unit}' if row.ceiling else '-'} | {row.fits} | {row.source} |"
@@ -150,13 +153,13 @@
         f"{row['processor_us_per_call']['median']:.0f} |"
         for row in latency["rows"]
     )
-    idle = found["idle"]
+    idle = results["idle"]
     runs = json.loads((RESULTS / "latency-300.json").read_text())["runs"]
     stages = json.loads((RESULTS / "stages.json").read_text())
     return TEMPLATE.read_text().format(
         table=table,
-        slopes="\n".join(slope_rows(found)),
-        spread="\n".join(spread_rows(found)),
+        slopes="\n".join(slope_rows(results)),
+        spread="\n".join(spread_rows(results)),
         rates=rates,
         per_daemon=CALLS_PER_S / DAEMONS,
         hops=relay_hops(),
@@ -175,14 +178,14 @@
         leaf_budget=1 + DEPTH * RETRY_SHARE,
         links=SERVICES * TRACK,
         log_reads=READERS * CENTRES / POLL_S,
-        at=found["calls"]["at"],
+        at=results["calls"]["at"],
     )
 
 
 def write() -> None:
-    """Write the page and print each row against its ceiling."""
-    found = json.loads((RESULTS / "capacity.json").read_text())
+    """Write the page and print each row with its ceiling check."""
+    results = json.loads((RESULTS / "capacity.json").read_text())
     latency = json.loads((RESULTS / "latency.json").read_text())
-    PAGE.write_text(page(found, latency))
-    for row in rows_of(found, latency):
+    PAGE.write_text(page(results, latency))
+    for row in rows_of(results, latency):
         print(f"{row.what:45} {row.value:9.3g} {row.unit:12} {row.fits}")
--- a/bench/capacity_slopes.py
+++ b/bench/capacity_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of processor time, memory and bytes, each over one size that grows."""
+"""Measures processor time, memory and bytes, each over one growing size."""
 
 from __future__ import annotations
 
@@ -40,15 +40,15 @@
 repeatable = yes
 """
 RATES = [0.0, 100.0, 200.0, 300.0, 400.0, 600.0]
-"""Calls a second through one ingress to one owner."""
+"""Call rates through one ingress to one owner, per second."""
 RATE_S = 8.0
-"""Length of one rate, seconds."""
+"""Duration of the load at each rate, seconds."""
 FLEETS = [14, 140, 350, 700, 1400]
-"""Targets of a configuration."""
+"""Sizes of the configurations, targets."""
 SERVICES_AT_TARGET = 100
 
 
-def big_fleet(targets: int) -> str:
+def large_configuration(targets: int) -> str:
     """Return a configuration with this many targets in 7 data centres, 14 for each service."""
     count = max(1, targets // 14)
     parts = ["[fleet]\nname = big\ndata_centres = a, b, c, d, e, f, g\n"]
@@ -67,8 +67,8 @@
     return "\n".join(parts)
 
 
-def used_s(fleet: LocalFleet, name: str) -> float:
-    """Return the processor time of a daemon so far, seconds."""
+def cpu_s(fleet: LocalFleet, name: str) -> float:
+    """Return the processor time that a daemon has used, seconds."""
     times = psutil.Process(fleet.daemons[name].popen.pid).cpu_times()
     return float(times.user + times.system)
 
@@ -79,7 +79,7 @@
 
 
 def calls() -> dict[str, Any]:
-    """Measure processor time of an ingress and of an owner over calls a second."""
+    """Measure processor time of an ingress and of an owner over the call rate."""
     targets = [Target("kasa-1", "kasa", "ist-1"), Target("depo-1", "depo", "ist-1", slots=64)]
     services = SERVICES + "\n[service kasa]\nprefix = /kasa/\n"
     used: dict[str, list[float]] = {"kasa-1": [], "depo-1": []}
@@ -88,13 +88,13 @@
         fleet.control_upstream("depo-1", service_ms=1.0)
         done: list[float] = []
         for rate in RATES:
-            before = {name: used_s(fleet, name) for name in used}
+            before = {name: cpu_s(fleet, name) for name in used}
             began = time.monotonic()
-            count = asyncio.run(send_at(fleet.addresses["kasa-1"]["callers"], rate))
+            count = asyncio.run(send_calls(fleet.addresses["kasa-1"]["callers"], rate))
             spent = time.monotonic() - began
             done.append(count / spent)
             for name in used:
-                used[name].append((used_s(fleet, name) - before[name]) / spent * 1e6)
+                used[name].append((cpu_s(fleet, name) - before[name]) / spent * 1e6)
         memory = {name: rss_mb(fleet, name) for name in used}
     return {
         "ingress_us_per_s": points(done, used["kasa-1"]),
@@ -103,8 +103,8 @@
     }
 
 
-async def send_at(address: str, rate: float) -> int:
-    """Send calls at random times for a while; return how many were answered."""
+async def send_calls(address: str, rate: float) -> int:
+    """Send calls with Poisson arrivals for `RATE_S`; returns how many had status 200."""
     if not rate:
         await asyncio.sleep(RATE_S)
         return 0
@@ -124,7 +124,7 @@
 
 
 def tracked() -> dict[str, Any]:
-    """Measure the time of one choice over the upstreams that are tracked."""
+    """Measure the time of one choice over the number of tracked upstreams."""
     sizes = [3, 6, 12, 24, 48]
     spent: list[float] = []
     for size in sizes:
@@ -154,16 +154,16 @@
 
 
 def fleet_size() -> dict[str, Any]:
-    """Measure what adopting a configuration costs over its targets, and how large it is."""
+    """Measure time, memory and bytes of a configuration over its number of targets."""
     parse_ms: list[float] = []
-    again_ms: list[float] = []
+    change_ms: list[float] = []
     place_ms: list[float] = []
     kept_mb: list[float] = []
-    packed: list[float] = []
+    snapshot_sizes: list[float] = []
     for size in FLEETS:
-        text = big_fleet(size)
+        text = large_configuration(size)
         parse_ms.append(_best_us(partial(parse_fleet, text, "big"), 1, 3) / 1000)
-        again_ms.append(_change_ms(text))
+        change_ms.append(_change_ms(text))
         tracemalloc.start()
         fleet, faults = parse_fleet(text, "big")
         kept_mb.append(tracemalloc.get_traced_memory()[0] / 1e6)
@@ -181,19 +181,19 @@
 
         place_ms.append(_best_us(place, 1, 3) / 1000)
         state = State(1, digest_of(text), text, 1)
-        packed.append(float(len(zlib.compress(encode("Snapshot", to_snapshot(state)), 1))))
+        snapshot_sizes.append(float(len(zlib.compress(encode("Snapshot", to_snapshot(state)), 1))))
     sizes = [float(size) for size in FLEETS]
     return {
         "parse_ms": points(sizes, parse_ms),
-        "change_ms": points(sizes, again_ms),
+        "change_ms": points(sizes, change_ms),
         "place_ms": points(sizes, place_ms),
         "kept_mb": points(sizes, kept_mb),
-        "snapshot_bytes": points(sizes, packed),
+        "snapshot_bytes": points(sizes, snapshot_sizes),
     }
 
 
 def _change_ms(text: str) -> float:
-    """Return the time to read a configuration in which one option has changed, milliseconds."""
+    """Return the time to parse a configuration after one option changed, milliseconds."""
     cache = SectionCache()
     parse_fleet(text, "big", cache)
     best = float("inf")
@@ -206,7 +206,7 @@
 
 
 def links() -> dict[str, Any]:
-    """Measure a daemon's memory over connections from ingresses and callers."""
+    """Measure a daemon's memory over its connections from ingresses and from callers."""
     sizes = [0.0, 200.0, 500.0, 1000.0]
     memory: dict[str, list[float]] = {"frames": [], "callers": []}
     targets = [Target("depo-1", "depo", "ist-1")]
@@ -236,14 +236,14 @@
 
 
 def idle() -> dict[str, Any]:
-    """Measure processor time, memory and control bytes of daemons without calls."""
+    """Measure processor time, memory and control traffic of idle daemons."""
     count = 12
     seconds = 20.0
     targets = [Target(f"depo-{i}", "depo", f"ist-{i % 3 + 1}") for i in range(count)]
     with LocalFleet("bench", targets, SERVICES) as fleet:
         fleet.start()
         time.sleep(3)
-        before = {name: (used_s(fleet, name), _control(fleet, name)) for name in fleet.targets}
+        before = {name: (cpu_s(fleet, name), _control(fleet, name)) for name in fleet.targets}
         time.sleep(seconds)
         rows = []
         for name in fleet.targets:
@@ -251,7 +251,7 @@
             now = _control(fleet, name)
             rows.append(
                 {
-                    "core_share": (used_s(fleet, name) - used) / seconds,
+                    "core_share": (cpu_s(fleet, name) - used) / seconds,
                     "rss_mb": rss_mb(fleet, name),
                     "sent_bytes_per_s": (now["sent_bytes"] - control["sent_bytes"]) / seconds,
                     "received_bytes_per_s": (now["received_bytes"] - control["received_bytes"])
@@ -273,7 +273,7 @@
 
 
 def messages() -> dict[str, Any]:
-    """Measure the bytes of each kind of message at an ordinary size."""
+    """Measure the sizes of typical messages, bytes."""
     load = {"busy": 5, "queued": 2, "slots": 12, "service_us": 2000, "errors": 0.0, "state": "warm"}
     ask = {"have": 1000, "name": "s1-100", "answer_to": "10.1.100.7:7002"}
     held = {"generation": 1000, "name": "s1-100", "reader": "s1-200", "age_ms": 300}
@@ -288,7 +288,7 @@
 
 
 def keys() -> dict[str, Any]:
-    """Measure memory and time of idempotency keys at their home, over keys remembered."""
+    """Measure memory and claim time of a key table over its number of idempotency keys."""
     sizes = [5000.0, 10000.0, 20000.0, 40000.0]
     memory: list[float] = []
     claim_us: list[float] = []
@@ -311,20 +311,20 @@
     }
 
 
-def big() -> dict[str, Any]:
-    """Measure memory and adoption time of one real daemon over the targets of its configuration."""
+def adoption() -> dict[str, Any]:
+    """Measure memory and adoption time of a daemon over the targets of its configuration."""
     memory: list[float] = []
     adopt_ms: list[float] = []
     targets = [Target("depo-1", "depo", "a")]
     with LocalFleet("bench", targets, SERVICES) as fleet:
         fleet.start()
         for size in FLEETS:
-            text = _with_others(fleet, size)
+            text = _with_other_targets(fleet, size)
             times: list[float] = []
             for number in range(4):
                 changed = text.replace("slots = 12", f"slots = {12 + number}", 1)
                 _, generation = asyncio.run(publish(fleet, changed))
-                wait_until(partial(_has, fleet, generation))
+                wait_until(partial(_is_in_force, fleet, generation))
                 time.sleep(1.0)
                 times.append(fleet.status("depo-1")["adopt_ms"])
             adopt_ms.append(min(times))
@@ -333,13 +333,13 @@
     return {"rss_mb": points(sizes, memory), "adopt_ms": points(sizes, adopt_ms)}
 
 
-def _has(fleet: LocalFleet, generation: int) -> bool:
+def _is_in_force(fleet: LocalFleet, generation: int) -> bool:
     found = fleet.status("depo-1")["configuration"]["generation"]
     return bool(found >= generation)
 
 
-def _with_others(fleet: LocalFleet, size: int) -> str:
-    """Return a large configuration that holds the running daemon, too."""
-    text = big_fleet(size - 1)
+def _with_other_targets(fleet: LocalFleet, size: int) -> str:
+    """Return a large configuration that includes the running daemon."""
+    text = large_configuration(size - 1)
     own = fleet.configuration()
     return text + "\n" + SERVICES + "\n" + own[own.index("[target depo-1]") :]
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,7 +1,7 @@
-"""Which way to choose an upstream is best: every policy, every case, several seeds, and an oracle.
+"""Simulates every balancing policy on every case and compares it with an oracle.
 
-The oracle knows at each choice the true state of every upstream: busy slots, queue, speed. How
-far a policy is from it is the figure to close. `python -m bench.decisions [--quick]`.
+The oracle knows the true state of every upstream at each choice: busy slots, queue, speed.
+`python -m bench.decisions [--quick]`.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 from multiprocessing import Pool
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from bench.deployments import ISTANBUL, TRINIDAD, Case, Deployment, Seen, Slowdown
+from bench.deployments import ISTANBUL, TRINIDAD, CallOutcome, Case, Deployment, Slowdown
 from bench.figures import percentile, spread, write_results
-from bench.world import World
+from bench.simulation import Simulation
 from foldhoist.routing.picker import Choice, NoChoice, Picker
 
 if TYPE_CHECKING:
@@ -52,9 +52,9 @@
 
 
 class OraclePicker(Picker):
-    """Chooses by the true state of every upstream at the moment of the choice."""
+    """Chooses by the current true state of every upstream."""
 
-    world: World
+    simulation: Simulation
 
     def pick(
         self,
@@ -64,10 +64,10 @@
         route: str = "",
         remote_s: float = 0.0,
     ) -> Pick:
-        """Choose the upstream that would end one more call first."""
+        """Choose the upstream that would finish one more call first."""
         best, least = "", float("inf")
-        for name, track in self.tracks.items():
-            if not track.connected or name in excluded or name in self.world.down:
+        for name, stats in self.tracks.items():
+            if not stats.connected or name in excluded or name in self.simulation.down:
                 continue
             cost = self._cost(name, now)
             if cost < least:
@@ -77,19 +77,19 @@
         return Choice(best, "oracle", ())
 
     def _cost(self, name: str, now: float) -> float:
-        owner, upstream = self.world.owners[name], self.world.upstreams[name]
+        owner, upstream = self.simulation.owners[name], self.simulation.upstreams[name]
         if owner.leaving or upstream.fails(now):
             return float("inf")
         service = upstream.service_s * upstream.factor(now)
         load, slots = owner.queue, owner.queue.limits.slots
-        waiting = load.queued + self.world.on_the_way(name)
+        waiting = load.queued + self.simulation.calls_in_transit(name)
         over = max(0, load.busy + waiting + 1 - slots)
         near = 0.0 if self.tracks[name].data_centre == self.data_centre else 0.0005
         return service * (1.0 + over / slots) + near + 1e-7 * (load.busy + waiting)
 
 
 class Run(NamedTuple):
-    """One run to make."""
+    """Parameters of a simulated run."""
 
     deployment: Deployment
     case: Case
@@ -97,30 +97,30 @@
     seed: int
 
 
-def make_run(run: Run) -> dict[str, Any]:
-    """Make one run; return its figures, times in milliseconds."""
+def simulate(run: Run) -> dict[str, Any]:
+    """Simulate one run; returns its metrics, times in milliseconds."""
     oracle = run.policy == "oracle"
-    world = World(run.deployment, run.case, "mixed" if oracle else run.policy, run.seed)
+    simulation = Simulation(run.deployment, run.case, "mixed" if oracle else run.policy, run.seed)
     if oracle:
-        install_oracle(world)
-    seen = world.run()
-    return figures_of(world, seen)
+        install_oracle_pickers(simulation)
+    outcomes = simulation.run()
+    return metrics_of(simulation, outcomes)
 
 
-def install_oracle(world: World) -> None:
-    """Replace the pickers of every ingress by ones that know the truth."""
-    for ingress in world.ingresses.values():
+def install_oracle_pickers(simulation: Simulation) -> None:
+    """Replace the pickers of every ingress by oracles."""
+    for ingress in simulation.ingresses.values():
         for state in ingress._services.all():
             old = state.picker
             picker = OraclePicker(old.policy, old.data_centre, old.eject_share, old.rng)
             picker.tracks = old.tracks
-            picker.world = world
+            picker.simulation = simulation
             state.picker = picker
 
 
-def figures_of(world: World, seen: list[Seen]) -> dict[str, Any]:
-    """Return what callers saw in one run, once it has settled."""
-    settled = [each for each in seen if each.at > 0.2]
+def metrics_of(simulation: Simulation, outcomes: list[CallOutcome]) -> dict[str, Any]:
+    """Return the metrics of a run without its first 200 ms."""
+    settled = [each for each in outcomes if each.at > 0.2]
     good = [each for each in settled if each.verdict == "answered" and not each.failed]
     figures: dict[str, Any] = {"calls": len(settled)}
     for kind, urgent in (("ordinary", False), ("urgent", True)):
@@ -131,21 +131,24 @@
         named = sum(1 for each in settled if each.verdict == verdict)
         figures[verdict] = named / len(settled)
     figures["good"] = len(good) / len(settled)
-    figures["goodput_per_s"] = len(good) / (world.case.length_s - 0.2)
-    figures["bad_share"] = share_to_bad(world, seen)
+    figures["goodput_per_s"] = len(good) / (simulation.case.length_s - 0.2)
+    figures["bad_share"] = share_to_degraded(simulation, outcomes)
     attempts = sum(len(each.targets) for each in settled)
     figures["attempts_per_call"] = attempts / len(settled)
     return figures
 
 
-def share_to_bad(world: World, seen: list[Seen]) -> float:
-    """Return the share of attempts at an upstream from 100 ms after it went bad on."""
-    bad = {world.names[at]: slow.begin for at, slow in world.case.slow}
-    bad |= {world.names[at]: begin for at, begin, _ in world.case.failing}
+def share_to_degraded(simulation: Simulation, outcomes: list[CallOutcome]) -> float:
+    """Return the share of attempts that went to slow or failing upstreams.
+
+    Counts calls from 100 ms after the first upstream degraded; 0.0 if none does.
+    """
+    bad = {simulation.names[at]: slow.begin for at, slow in simulation.case.slow}
+    bad |= {simulation.names[at]: begin for at, begin, _ in simulation.case.failing}
     if not bad:
         return 0.0
     total = hits = 0
-    for each in seen:
+    for each in outcomes:
         if each.at < min(bad.values()) + 0.1:
             continue
         total += len(each.targets)
@@ -154,7 +157,7 @@
 
 
 def main() -> None:
-    """Make every run, print the table and write the results."""
+    """Simulate every run, print the table and write the results."""
     quick = "--quick" in sys.argv
     deployments = (ISTANBUL,) if quick else (ISTANBUL, TRINIDAD)
     seeds = 2 if quick else SEEDS
@@ -166,7 +169,7 @@
         for seed in range(seeds)
     ]
     with Pool(WORKERS) as pool:
-        made = pool.map(make_run, runs, chunksize=1)
+        made = pool.map(simulate, runs, chunksize=1)
     rows = collect(runs, made)
     for row in rows:
         show(row)
@@ -174,7 +177,7 @@
 
 
 def collect(runs: list[Run], made: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Return one row for each deployment, case and policy: median and spread over seeds."""
+    """Return a row for each deployment, case and policy, with median and range over seeds."""
     grouped: dict[tuple[str, str, str], list[dict[str, Any]]] = {}
     for run, figures in zip(runs, made, strict=True):
         grouped.setdefault((run.deployment.name, run.case.name, run.policy), []).append(figures)
@@ -188,7 +191,7 @@
 
 
 def show(row: dict[str, Any]) -> None:
-    """Print one row."""
+    """Print a row of the results."""
     p99, urgent, good, bad = (
         row[name]["median"] for name in ("ordinary_p99", "urgent_p99", "good", "bad_share")
     )
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -1,7 +1,4 @@
-"""What the experiments play: deployments of one service, and what happens in a run.
-
-Times are seconds.
-"""
+"""Deployments of one service and cases for the simulation; times are in seconds."""
 
 from __future__ import annotations
 
@@ -9,7 +6,7 @@
 
 
 class Slowdown(NamedTuple):
-    """An upstream works at 1/factor of its speed for a while."""
+    """An interval in which an upstream works at 1/factor of its speed."""
 
     begin: float
     end: float
@@ -17,7 +14,7 @@
 
 
 class Deployment(NamedTuple):
-    """Sizes of one service of a deployment."""
+    """Size and service time of a service; `targets` upstreams spread over `centres`."""
 
     name: str
     targets: int
@@ -32,7 +29,10 @@
 
 
 class Case(NamedTuple):
-    """What happens in a run; `load` is a share of all slots, times are from its start."""
+    """Load and faults of a run; `load` is a share of all slots, times are from the start.
+
+    Upstreams are given by index: `bursts` are (begin, end, factor), `failing` (index, begin, end).
+    """
 
     name: str
     load: float = 0.8
@@ -49,8 +49,8 @@
     one_ingress: bool = False
 
 
-class Seen(NamedTuple):
-    """The end of one call."""
+class CallOutcome(NamedTuple):
+    """Outcome of a call: start, duration, priority, verdict, server error and attempted targets."""
 
     at: float
     seconds: float
--- a/bench/fake_upstream.py
+++ b/bench/fake_upstream.py
@@ -1,4 +1,4 @@
-"""A stand-in for an upstream on simpy's time: it serves at a speed that changes."""
+"""A simulated upstream with random service times, slowdowns and failures."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class FakeUpstream:
-    """Serves calls with drawn times, slower while a slowdown lasts."""
+    """Draws service times; slowdowns must be in order of time."""
 
     def __init__(self, service_s: float, rng: random.Random) -> None:
         self.service_s = service_s
@@ -22,18 +22,18 @@
         self.runs = 0
 
     def fails(self, now: float) -> bool:
-        """Return whether it fails fast now."""
+        """Return whether calls that start now fail."""
         return any(begin <= now < end for begin, end in self.failing)
 
     def factor(self, now: float) -> float:
-        """Return how many times slower than usual it works now."""
+        """Return the slowdown factor now, 1.0 for full speed."""
         at = bisect_right([each.begin for each in self.slowdowns], now) - 1
         if at < 0 or now >= self.slowdowns[at].end:
             return 1.0
         return self.slowdowns[at].factor
 
     def duration(self, now: float) -> float:
-        """Return how long a call that starts now takes, over all slowdowns on its way."""
+        """Return the duration of a call that starts now, with all slowdowns during it."""
         self.runs += 1
         if self.fails(now):
             return 0.0005
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -1,4 +1,4 @@
-"""Percentiles, medians and spreads of what was measured."""
+"""Percentiles and ranges of measurements, and the files of results."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from typing import Any
 
 RESULTS = Path(__file__).resolve().parent / "results"
-"""Where results are written."""
+"""Folder of the results."""
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return the value below which this share (0 to 100) of the values lies."""
+    """Return a percentile (0 to 100) of the values; NaN if there are none."""
     if not values:
         return float("nan")
     ordered = sorted(values)
@@ -21,12 +21,12 @@
 
 
 def spread(values: list[float]) -> dict[str, float]:
-    """Return median, least and greatest of several runs."""
+    """Return median, minimum and maximum of the values."""
     return {"median": median(values), "least": min(values), "most": max(values)}
 
 
 def write_results(name: str, body: dict[str, Any]) -> Path:
-    """Write results as JSON with the kind of machine; return the path."""
+    """Write results as JSON with core count and Python version; returns the path."""
     RESULTS.mkdir(exist_ok=True)
     path = RESULTS / f"{name}.json"
     machine = {"cores": _cores(), "python": platform.python_version()}
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -1,7 +1,6 @@
-"""Added latency: through foldhoist minus straight to the same upstream, interleaved in one run.
+"""Measures added latency: calls through foldhoist against direct calls to the same upstreams.
 
-Calls come at random times (a Poisson stream) at a set rate for each daemon. Each round sends
-through every daemon and, at the same rate, straight to the upstreams.
+Each round interleaves both kinds at the same rate, with Poisson arrivals.
 """
 
 from __future__ import annotations
@@ -20,15 +19,15 @@
 from standins.processes import LocalFleet, Target
 
 ROUNDS = 5
-"""Rounds of one rate; figures are the median of the rounds."""
+"""Rounds of each rate; results are medians over the rounds."""
 CALLS = 1500
-"""Calls of each kind in a round at higher rates."""
-SLOW_RATE, FEW_CALLS = 10.0, 40
-"""Below this rate a round has so few calls; its p99 is nearly its slowest call."""
+"""Calls of each kind in a round."""
+LOW_RATE, LOW_RATE_CALLS = 10.0, 40
+"""Below this rate, per second, a round has fewer calls of each kind."""
 BODY = "x" * 300
-"""What a call carries, bytes."""
+"""Value of a padding header of each call."""
 SHARES = (50, 99, 99.9)
-"""Percentiles that are compared."""
+"""Percentiles compared."""
 
 
 async def measure_round(
@@ -42,13 +41,13 @@
     ingresses = [fleet.addresses[name]["callers"] for name in daemons]
     tasks: list[asyncio.Task[None]] = []
 
-    async def one(kind: str, address: str) -> None:
+    async def send_call(kind: str, address: str) -> None:
         outcome = await caller.call(address, "GET", "/depo/a?sleep_ms=0", b"", {"X-Pad": BODY})
         if outcome.status == 200:
             times[kind].append(outcome.seconds * 1e6)
 
     await asyncio.gather(
-        *(one(k, a) for k, s in (("direct", upstreams), ("through", ingresses)) for a in s)
+        *(send_call(k, a) for k, s in (("direct", upstreams), ("through", ingresses)) for a in s)
     )
     times["direct"].clear()
     times["through"].clear()
@@ -59,7 +58,7 @@
         kind = "direct" if number % 2 else "through"
         address = (upstreams if kind == "direct" else ingresses)[number // 2 % len(daemons)]
         await asyncio.sleep(max(0.0, due - loop.time()))
-        tasks.append(loop.create_task(one(kind, address)))
+        tasks.append(loop.create_task(send_call(kind, address)))
     await asyncio.gather(*tasks)
     caller.close()
     return times
@@ -75,7 +74,7 @@
 
 
 def measure_rate(fleet: LocalFleet, daemons: list[str], rate: float, calls: int) -> dict[str, Any]:
-    """Return the added latency at one rate, calls a second for each daemon."""
+    """Return the added latency at one rate, calls per second for each daemon."""
     added: dict[str, list[float]] = {f"p{share:g}": [] for share in SHARES}
     direct: dict[str, list[float]] = {f"p{share:g}": [] for share in SHARES}
     per_call: list[float] = []
@@ -110,7 +109,7 @@
         asyncio.run(measure_round(fleet, names, 200, 500, 99))
         print("calls/s  added p50  p99 (least..most)  p99.9 us  direct p99  cpu us/call  failed")
         for rate in rates:
-            calls = FEW_CALLS if rate < SLOW_RATE else CALLS
+            calls = LOW_RATE_CALLS if rate < LOW_RATE else CALLS
             row = measure_rate(fleet, names, rate, calls)
             rows.append(row)
             show(row)
@@ -118,7 +117,7 @@
 
 
 def show(row: dict[str, Any]) -> None:
-    """Print one rate."""
+    """Print the row of a rate."""
     added, direct = row["added_us"], row["direct_us"]
     print(
         f"{row['rate']:7g}  {added['p50']['median']:9.0f}  {added['p99']['median']:5.0f} "
--- a/bench/publish.py
+++ b/bench/publish.py
@@ -1,4 +1,4 @@
-"""Publishes a configuration straight to the log, without the checks of `foldhoist apply`."""
+"""Publishes a configuration to the log without the checks of `foldhoist apply`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 async def publish(fleet: LocalFleet, text: str) -> tuple[float, int]:
-    """Append a change; return when the log had it (wall clock) and its generation."""
+    """Append a change; returns its time of acceptance (wall clock) and its generation."""
     client = PlatformClient(fleet.platform_address, "configuration")
     state = (await read_state(client)).ok
     body = {
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Writes the page and the plot of the decision bench from its results."""
+"""Writes the page and the plot of the decision benchmark from its results."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 PAGE = Path(__file__).resolve().parent.parent / "docs" / "design" / "decisions.md"
 GOAL = 1.15
-"""How far from the oracle's p99 a policy may be."""
+"""Largest accepted ratio of a policy's p99 to the oracle's."""
 HEAD = """# Decisions measured
 
 Written by `make bench` from `bench/results/decisions.json` ({at}): the real ingress and owner
@@ -41,7 +41,7 @@
 
 
 def summary(grouped: dict[tuple[str, str], dict[str, dict[str, Any]]]) -> list[str]:
-    """Return one line for each case: how far 'mixed' is from oracle and best baseline."""
+    """Return table rows that compare 'mixed' with the oracle and the best baseline by case."""
     lines = ["| deployment | case | mixed p99 | to the oracle | best baseline | to it |"]
     lines.append("|---|---|---|---|---|---|")
     for (deployment, case), policies in grouped.items():
@@ -58,7 +58,7 @@
 
 
 def table(policies: dict[str, dict[str, Any]]) -> list[str]:
-    """Return the table of one case."""
+    """Return the table of a case, a row for each policy."""
     lines = ["| policy | p99 | p99.9 | urgent p99 | good | goodput/s | bad | attempts a call |"]
     lines.append("|---|---|---|---|---|---|---|---|")
     for name, row in policies.items():
@@ -73,7 +73,7 @@
 
 
 def plot(grouped: dict[tuple[str, str], dict[str, dict[str, Any]]]) -> None:
-    """Draw each policy's p99 over the oracle's, for each case."""
+    """Plot the ratio of each policy's p99 to the oracle's by case."""
     keys = list(grouped)
     figure, axes = plt.subplots(figsize=(11, 0.34 * len(keys) + 1.5))
     names = [name for name in grouped[keys[0]] if name != "oracle"]
@@ -96,7 +96,7 @@
 
 
 def write() -> None:
-    """Write page and plot."""
+    """Write the page and the plot."""
     body = json.loads((RESULTS / "decisions.json").read_text())
     grouped = rows_by_case(body)
     lines = [HEAD.format(at=body["at"], seeds=body["seeds"]), *summary(grouped), ""]
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,4 +1,4 @@
-"""Runs every experiment but the capacity slopes: stages, latency, leaving, decisions."""
+"""Runs every benchmark except capacity: stages, latency, leaving, decisions."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def main() -> None:
-    """Run them one after the other."""
+    """Run the benchmarks in sequence and write the report."""
     for name, run in (
         ("stages of a call", stages.main),
         ("added latency", latency.main),
--- a/bench/stages.py
+++ b/bench/stages.py
@@ -1,7 +1,6 @@
-"""Processor time of each stage of a call, with the sockets taken away.
+"""Measures the time of each stage of a call without sockets.
 
-The protocol objects and cores are those of a daemon; transports are fakes that keep what is
-written. One stage is timed at a time, over many calls.
+Protocol and core objects are those of a daemon; fake transports collect what is written.
 """
 
 from __future__ import annotations
@@ -35,16 +34,16 @@
     from foldhoist.schema.settings import Settings
 
 ROUNDS = 5
-"""Rounds; the figures are medians."""
+"""Number of rounds; results are medians over them."""
 CALLS = 4000
-"""Calls of one round."""
+"""Calls of a round."""
 TARGETS = 12
-"""Upstreams that the ingress chooses from."""
+"""Number of upstreams that the ingress chooses from."""
 STAGES = ("caller to frame", "frame to upstream", "upstream to frame", "frame to caller")
 
 
 class FakeTransport(asyncio.Transport):
-    """Keeps what is written."""
+    """Collects what is written."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -73,14 +72,14 @@
         return
 
     def take(self) -> bytes:
-        """Return and forget what was written."""
+        """Return what was written and clear it."""
         data = b"".join(self.written)
         self.written.clear()
         return data
 
 
 class FakeLinks:
-    """Writes frames to one fake transport, whichever owner they are for."""
+    """Sends frames for every owner on one connection."""
 
     def __init__(self, conn: FrameConnection) -> None:
         self.conn = conn
@@ -117,8 +116,8 @@
     return "\n".join(parts)
 
 
-class Bench:
-    """The four stages of a call, joined by fake transports."""
+class CallPath:
+    """The path of a call in four stages, connected by fake transports."""
 
     def __init__(self) -> None:
         cfg = default_settings()
@@ -153,13 +152,13 @@
         self.caller.connection_made(self.caller_wire)
 
     def hop(self, call: Any) -> None:
-        """Do what a daemon does with the end of a call at an owner."""
+        """Record a finished call of the owner as a daemon does."""
         self.records.add_hop(Hop("depo-1", 0.0, call))
         self.latencies.record("queue", call.waited_us)
         self.latencies.record("upstream", call.served_us)
 
     def run(self) -> dict[str, float]:
-        """Return microseconds per call of each stage."""
+        """Run a round; returns the mean time of each stage, microseconds."""
         request = b"GET /depo/a HTTP/1.1\r\nHost: x\r\nX-Pad: " + b"x" * 300 + b"\r\n\r\n"
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n" + b"y" * 20
         spent = dict.fromkeys(STAGES, 0.0)
@@ -193,15 +192,15 @@
 
 
 async def measure() -> dict[str, dict[str, float]]:
-    """Return median and spread of each stage, microseconds."""
-    bench = Bench()
-    bench.run()
-    rounds = [bench.run() for _ in range(ROUNDS)]
+    """Return median and range of each stage, microseconds."""
+    path = CallPath()
+    path.run()
+    rounds = [path.run() for _ in range(ROUNDS)]
     return {stage: spread([one[stage] for one in rounds]) for stage in STAGES}
 
 
 def main() -> None:
-    """Measure, print and write."""
+    """Measure, print and write the results."""
     stages = asyncio.run(measure())
     for stage, figures in stages.items():
         span = f"{figures['least']:.1f}..{figures['most']:.1f}"
--- a/tests/unit/bench/__init__.py
+++ b/tests/unit/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the experiments in bench."""
+"""Tests of the benchmarks."""
--- a/tests/unit/bench/test_stages.py
+++ b/tests/unit/bench/test_stages.py
@@ -1,4 +1,4 @@
-"""The experiment on the stages of a call follows the daemon's own parts."""
+"""The benchmark of the stages of a call works with the daemon's objects."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     monkeypatch.setattr(stages, "CALLS", 10)
 
     async def run() -> dict[str, float]:
-        return stages.Bench().run()
+        return stages.CallPath().run()
 
     spent = asyncio.run(run())
     assert set(spent) == set(stages.STAGES)
