--- a/foldhoist/customers/candidates.py
+++ b/foldhoist/customers/candidates.py
@@ -13,7 +13,7 @@
 MIN_CANDIDATES = 8
 """Fewest candidates, if there are as many hosts; each daemon is connected to all of them."""
 HOSTS_PER_CANDIDATE = 16
-"""In a larger fleet one host in this many is a candidate, which bounds the load on each."""
+"""Hosts per candidate in a fleet too large for `MIN_CANDIDATES`; bounds the load on each."""
 _RANKING_KEY = "keeper of quotas"
 """Key of the ranking of hosts; all daemons must use the same."""
 
--- a/foldhoist/customers/credit.py
+++ b/foldhoist/customers/credit.py
@@ -2,8 +2,9 @@
 
 A call of a customer with a quota spends credit that a quota server has granted to this host.
 Without credit, the client asks the customer's quota server, and the call waits for the answer. A
-server that does not answer is suspected for a while and the next one is asked. If none answers,
-this host admits calls at its own share of the quota.
+server that does not answer is suspected for a while and the next one is asked. If
+`MAX_SERVERS_ASKED` servers have not answered, or no other can be asked, this host admits calls at
+its own share of the quota.
 """
 
 from __future__ import annotations
@@ -31,7 +32,10 @@
 MAX_SERVERS_ASKED = 2
 """Quota servers asked one after the other before this host uses its own share."""
 CREDIT_LIFETIME_S = 0.5
-"""Credit expires this long after the request for it, seconds, so that it is not hoarded."""
+"""Lifetime of unused credit, seconds, so that hosts do not hoard it.
+
+It starts anew with each later grant, from the request, and with each credit that a call returns.
+"""
 PREFETCH_S = 0.25
 """Credit is also requested for the calls expected within this time, seconds."""
 DEMAND_DECAY_S = 1.0
@@ -46,7 +50,7 @@
 OWN_SHARE_RETRY_AFTER_S = 0.5
 """Retry-after of a call denied while no quota server answers, seconds."""
 ACCOUNT_EXPIRY_S = 10.0
-"""Interval of the removal of accounts, and how long one must be without calls, seconds."""
+"""Age of the last call from which on an account is removed, and interval of that, seconds."""
 RETRY_JITTER = 0.5
 """A denied call's retry-after is extended at random by up to this share of it."""
 
@@ -189,7 +193,7 @@
         return self._ask(now, account) if account.pending is None else []
 
     def on_credit(self, now: float, message: Credit) -> list[Step]:
-        """Handle a quota server's answer; an answer to no pending request is ignored."""
+        """Handle a quota server's answer; one to no pending request is only counted."""
         account = self._pending.pop(message["ask"], None)
         if account is None or account.pending is None:
             self.late += 1
@@ -216,7 +220,7 @@
         return self._decide_waiting(now, account, denied=retry_after_s > 0)
 
     def link_changed(self, now: float, host: str, *, up: bool) -> list[Step]:
-        """Handle that a connection to a host was opened or lost."""
+        """Record an opened or lost connection; requests pending at a lost host go to the next."""
         if up:
             self._connected.add(host)
             return []
@@ -357,6 +361,7 @@
 
 
 def _ask_elsewhere(account: _Account, pending: _PendingAsk) -> Ask:
+    """Return the notice to a suspected server that this host asks another one."""
     return Ask(pending.server, {**_credit_ask(account, pending.ask_id, 0, 0), "elsewhere": True})
 
 
--- a/foldhoist/customers/directory.py
+++ b/foldhoist/customers/directory.py
@@ -79,7 +79,7 @@
 
 
 def check_keys(sections: Mapping[str, Section]) -> None:
-    """Raise ValueError if two customers share a key."""
+    """Raise ValueError if two customers share a key, or if a key is not a digest."""
     if shared := shared_key(sections):
         raise ValueError(f"customers {shared.first} and {shared.second} hold the same key")
 
--- a/foldhoist/customers/quota_server.py
+++ b/foldhoist/customers/quota_server.py
@@ -1,8 +1,9 @@
 """The quota server: counts a customer's calls at all hosts and grants credit for them.
 
-Each host has an equal share of every quota and lends it to the one quota server that it asks. A
-server gains credit at the rate of the shares lent to it. Two servers that are asked at the same
-time, as in a network partition, together gain no more than the customer's rate.
+Each host has an equal share of every quota and lends it to one quota server at a time: to a
+customer's primary server by being connected to it, to another server by asking it. A server gains
+credit at the rate of the shares lent to it. Two servers that are asked at the same time, as in a
+network partition, together gain no more than the customer's rate.
 """
 
 from __future__ import annotations
@@ -131,7 +132,11 @@
                 del self._buckets[name]
 
     def update_hosts(self, now: float, hosts: Hosts) -> None:
-        """Update the hosts; to be called often, also without changes, since it refills buckets."""
+        """Update the hosts and refill all buckets.
+
+        To be called more often than every `STALL_S`, also without changes: a longer gap in activity
+        counts as a stall.
+        """
         self._refill_all(now)
         if hosts.known != self._hosts.known:
             self._candidates = quota_server_candidates({*hosts.known, self.name})
@@ -148,7 +153,7 @@
             bucket.rate_share = self._rate_share(at, bucket)
 
     def on_ask(self, now: float, host: str, ask: CreditAsk) -> Credit:
-        """Grant available credit for the calls of a customer at a host."""
+        """Grant available credit for a customer's calls, or record that the host asks elsewhere."""
         if ask["elsewhere"]:
             self._refill_all(now)
             self._asking_elsewhere.add(host)
@@ -244,6 +249,7 @@
     def _rate_share(self, at: float, bucket: _Bucket) -> float:
         """Return the share of a quota that connected hosts lend to this server, 0 to 1.
 
+        It is 0 unless this server is primary.
         Hosts without requests for `MAX_SILENCE_S` are removed from the asking hosts.
         """
         for host, asking in list(bucket.asking_hosts.items()):
