--- a/foldhoist/configlog/evacuations.py
+++ b/foldhoist/configlog/evacuations.py
@@ -2,7 +2,7 @@
 
 The operator writes a record to evacuate a data centre and deletes it to end the evacuation. The
 records below an offset of the operator's log determine the state, so the state with the greater
-offset is newer. States are replaced completely, and only by newer ones.
+offset is newer. A state is only ever replaced by a newer one.
 """
 
 from __future__ import annotations
--- a/foldhoist/configlog/fold.py
+++ b/foldhoist/configlog/fold.py
@@ -117,8 +117,8 @@
 def merge(state: State, other: State) -> State:
     """Return the merge of two states; its generation is the greater of the two.
 
-    An exact state replaces an inexact one of the same or an older generation. Exact states are all
-    prefixes of one history.
+    An exact state replaces an inexact one of the same or an older generation. Of two exact states,
+    one continues the other, since both are folds of the same log.
     """
     if other.exact and not state.exact and other.generation >= state.generation:
         return other
--- a/foldhoist/configlog/publisher.py
+++ b/foldhoist/configlog/publisher.py
@@ -20,7 +20,7 @@
 
 
 class Accepted(NamedTuple):
-    """The proposal is in force as this generation."""
+    """The proposal came into force as this generation; a later one may have replaced it."""
 
     generation: int
 
--- a/foldhoist/configlog/refresh.py
+++ b/foldhoist/configlog/refresh.py
@@ -12,13 +12,16 @@
     from foldhoist.configlog.fold import LogRecord, State
 
 REFRESH_JITTER = 0.25
-"""Longest random delay of a rewrite, as a share of the age limit; the retry delay, too."""
+"""Longest random delay of a rewrite, as a share of `max_age_s`; also the delay of a retry."""
 MAX_STALE_WAIT_S = 1.0
 """Longest random delay of the rewrite that follows an outdated snapshot, seconds."""
 
 
 class SnapshotRefresher:
-    """Schedules rewrites of the state; `now` and the age limit `max_age_s` are in seconds."""
+    """Schedules rewrites of the state; `now` is in monotonic seconds.
+
+    `max_age_s` is the age, seconds, from which on a state in the log is rewritten.
+    """
 
     def __init__(self, max_age_s: float, rng: Random) -> None:
         self.max_age_s = max_age_s
--- a/foldhoist/configlog/spread.py
+++ b/foldhoist/configlog/spread.py
@@ -32,7 +32,7 @@
 
 
 class Role(NamedTuple):
-    """A daemon's role in the distribution, the same at all daemons with one configuration.
+    """A daemon's role in the distribution; all daemons with one configuration derive the same.
 
     `children` get new generations from it; it asks the `preferred` peers. `others` are the other
     daemons of its data centre.
@@ -114,14 +114,14 @@
             self._log_reader = held["reader"]
 
     def should_read(self, now: float) -> bool:
-        """Return whether this daemon reads the log: by its role, or since the last read is old."""
+        """Return whether to read the log: by the role, or since the last known read is too old."""
         if self.role.reader:
             return True
         intervals = MAX_AGE_INTERVALS + MAX_AGE_INTERVALS_PER_RANK * self.role.rank
         return now - self._log_read_at > intervals * self.ask_interval_s
 
     def freshness(self, now: float, own_read: float) -> tuple[str, int]:
-        """Return the name of the last reader of the log, empty if unknown, and the age in ms."""
+        """Return the last known reader of the log, empty if none, and the age of its read in ms."""
         at, reader = self._log_read_at, self._log_reader
         if own_read > at:
             at, reader = own_read, self.name
--- a/foldhoist/configlog/versions.py
+++ b/foldhoist/configlog/versions.py
@@ -15,7 +15,7 @@
     from collections.abc import Iterable
 
 READERS = 2
-"""Daemons of each data centre that read the store by default."""
+"""Daemons of each data centre that always read the store."""
 REPORT_INTERVAL_S = 0.5
 """Interval of a reader's reports to its data centre, seconds."""
 REPORT_TIMEOUT_S = 1.3
