--- a/foldhoist/delivery/admission_checks.py
+++ b/foldhoist/delivery/admission_checks.py
@@ -14,7 +14,7 @@
 DEFAULT_MAX_HOPS = 32
 """Deepest nesting of calls until a configuration sets it."""
 MAX_SLOWDOWN = 5.0
-"""Factor on a call's usual time in the check whether it ends before its ingress shuts down."""
+"""A call is assumed to take up to this many times its usual time when a shutdown is due."""
 
 
 class AdmissionChecks:
@@ -37,7 +37,7 @@
     def refusal(
         self, req: CallerRequest, routes: RouteTable | None, routed: RouteMatch | None, calls: int
     ) -> NotRun | None:
-        """Return the refusal of a request, or None; `calls` have no final answer yet."""
+        """Return why a request is refused, or None; `calls` counts those without a final answer."""
         if routes is None:
             return NotRun("no-configuration", 1.0)
         if calls >= self.max_calls:
@@ -60,7 +60,7 @@
         return self._quarantine.remaining_s(now, call.identity)
 
     def is_suspect(self, call: Call) -> bool:
-        """Return whether an upstream has crashed while running a call of this identity."""
+        """Return whether a crash during a call of this identity is not refuted by an answer."""
         return self._quarantine.is_suspect(call.identity)
 
     def may_outlast_process(self, now: float, usual_s: float, budget_s: float) -> bool:
--- a/foldhoist/delivery/call.py
+++ b/foldhoist/delivery/call.py
@@ -23,6 +23,8 @@
 class CallerRequest(NamedTuple):
     """A request as a caller sent it; `budget_s` and `key_issued_ms` are 0 if not given.
 
+    A negative `budget_s` means that the deadline has passed.
+
     `parent_rank` is the most common rank of the calls that ran at this host's upstream when the
     request came; the request belongs to one of them if that upstream sent it. `retried` says
     whether the parent call was a repeat, None if the caller does not say; `parent_repeat` is then
--- a/foldhoist/delivery/call_table.py
+++ b/foldhoist/delivery/call_table.py
@@ -66,7 +66,7 @@
         return [(call, attempt) for call, attempt in self.attempts_at(target) if attempt.fate_due]
 
     def park(self, call: Call) -> None:
-        """Park a call until a first connection to an owner."""
+        """Park a call that has no connected owner until connections or upstreams change."""
         self._parked[call.call_id] = call
 
     def unpark(self, call_id: int) -> bool:
--- a/foldhoist/delivery/codec.py
+++ b/foldhoist/delivery/codec.py
@@ -21,9 +21,9 @@
 SCHEMA_VERSION = 4
 """Version of the message schema; peers of another version are refused."""
 HEADER = Struct(">IB")
-"""Header of a frame: length of what follows in bytes, then the kind."""
+"""Header of a frame: length of what follows the header, in bytes, then the kind."""
 DEFLATED = 0x80
-"""Flag in the kind: the fields are deflated, and the body of the call follows them."""
+"""Flag in the kind: a length, the deflated fields and the raw body of the call follow."""
 DEFLATED_HEADER = Struct(">I")
 """Length of the deflated fields, bytes."""
 WINDOW_BITS = -10
@@ -72,7 +72,7 @@
 
 
 def decode(number: int, fields: bytes | memoryview) -> tuple[str, Any]:
-    """Return kind and fields of a message; raises ProtocolError if they match no schema."""
+    """Return kind and fields; raises ProtocolError if they do not match the message schema."""
     entry = _DECODERS.get(number)
     if entry is None:
         raise ProtocolError(f"unknown message kind {number}")
@@ -110,7 +110,7 @@
 
 
 class StreamDecoder:
-    """Decodes a stream of bytes into messages; `limit` is the longest allowed, bytes."""
+    """Decodes a stream of bytes into messages; `limit` is the largest size of one, bytes."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
--- a/foldhoist/delivery/dispatch.py
+++ b/foldhoist/delivery/dispatch.py
@@ -38,7 +38,7 @@
 class StartCall(NamedTuple):
     """Send a call to the upstream; `budget_s` is the time left until its deadline, seconds.
 
-    `instance` is the upstream's incarnation that the call is meant for, empty if it has no name.
+    `instance` is the instance name that the upstream has announced, empty if it has not.
     """
 
     ticket: int
@@ -48,20 +48,20 @@
 
 
 class CancelCall(NamedTuple):
-    """Stop a call at the upstream that nobody waits for or that may crash it."""
+    """Stop a running call that nobody waits for, or that may crash the upstream."""
 
     ticket: int
     reason: str = "cancelled"
 
 
 class ShareSuspects(NamedTuple):
-    """Send these suspects to daemons that are not connected with this owner."""
+    """Send these suspects to other data centres, for daemons not connected with this owner."""
 
     suspects: list[Suspect]
 
 
 class QuarantineCalls(NamedTuple):
-    """Refuse calls with these identities from now on."""
+    """Log and store that calls with these identities are quarantined from now on."""
 
     calls: list[str]
 
@@ -193,8 +193,9 @@
 class Ticket:
     """A call that waits or runs at this owner; times are monotonic seconds.
 
-    `ahead` are the calls that ran or waited when it arrived, `running_at_start` the busy slots when
-    it started, its own included. `repeat` is the probability that it is a repeat, 0 to 1.
+    `start_by` is its latest useful start. `ahead` counts the calls that ran or waited when it
+    arrived, `running_at_start` the busy slots when it started, its own included. `repeat` is the
+    probability that it is a repeat, 0 to 1.
     """
 
     __slots__ = (
--- a/foldhoist/delivery/dispatch_message.py
+++ b/foldhoist/delivery/dispatch_message.py
@@ -18,7 +18,10 @@
 def dispatch_message(
     now: float, call: Call, seq: int, acked: int, generation: int, expected_s: float
 ) -> Dispatch:
-    """Return the message of an attempt; `expected_s` is the usual time at an upstream."""
+    """Return the message of an attempt; `expected_s` is the usual time at an upstream, seconds.
+
+    The ingress has the results of all attempts below `acked`.
+    """
     req = call.req
     left_s = call.deadline - now
     margin = DEADLINE_MARGIN_S if left_s > 4 * DEADLINE_MARGIN_S else 0.0
--- a/foldhoist/delivery/ingress.py
+++ b/foldhoist/delivery/ingress.py
@@ -111,7 +111,7 @@
         return self._apply_gate(now, self.gate.credited(now, message))
 
     def answer(self, now: float, target: str, message: Answer) -> list[Action]:
-        """Handle an owner's answer; a late one is counted and dropped."""
+        """Handle an owner's answer: give it to the caller, or retry after a server error."""
         ended = self._end_attempt(message["seq"])
         if ended is None:
             return []
@@ -127,7 +127,7 @@
         return self._finish(now, call, Answered(response))
 
     def refusal(self, now: float, target: str, message: Refusal) -> list[Action]:
-        """Handle an owner's refusal: retry at another owner, or give the final answer."""
+        """Handle a refusal: retry, give the final answer, or wait for another attempt."""
         ended = self._end_attempt(message["seq"])
         if ended is None:
             return []
@@ -149,7 +149,7 @@
             state.picker.reported(target, now, message["load"])
 
     def link_up(self, now: float, target: str, incarnation: str) -> list[Action]:
-        """Handle a new connection to an owner; asks for the outcome of calls of an older one."""
+        """Handle a new connection to an owner; resolves attempts whose connection was lost."""
         fresh = self._incarnations.get(target) != incarnation
         self._incarnations[target] = incarnation
         self._connected.add(target)
--- a/foldhoist/delivery/keys.py
+++ b/foldhoist/delivery/keys.py
@@ -103,7 +103,7 @@
 
     @property
     def since_ms(self) -> int:
-        """Return the wall-clock time since which every run of this home's keys is known."""
+        """Return the wall-clock milliseconds since which every run of this home's keys is known."""
         return max(self._own_since_ms, self._moved_since_ms)
 
     def adopt(
@@ -111,7 +111,8 @@
     ) -> frozenset[str]:
         """Apply a generation; returns the targets that must hand over their keys first.
 
-        `serving` are the targets that may be homes, `others` all that are not retired.
+        A generation that is not newer is ignored and returns none. `serving` are the targets that
+        may be homes, `others` all that are not retired; this home may be among them.
         """
         names = frozenset(serving)
         followed = generation == self.generation + 1 and self._names is not None
--- a/foldhoist/delivery/load_reports.py
+++ b/foldhoist/delivery/load_reports.py
@@ -16,7 +16,7 @@
     from foldhoist.schema.messages import Load, Suspect
 
 MAX_PACE_REPORTS = 24
-"""Ingresses to which a change of the pace is reported, those with the newest calls first.
+"""Most ingresses to which a change of the pace is reported, by most recent call.
 
 Bounds the control traffic of an upstream whose pace changes several times a second.
 """
@@ -42,7 +42,8 @@
     def invite_trial(self, now: float) -> list[Action]:
         """Invite one ingress to send a trial call, by reporting the state as warm to it alone.
 
-        Ingresses with recent calls here are invited in turn, or all if there are none.
+        Each time another one of the ingresses with recent calls here is invited, or of all
+        ingresses if none has any.
         """
         links = (
             self._peers.recently_used(now - PACE_KEPT_MS / 1000, MAX_PACE_REPORTS)
--- a/foldhoist/delivery/owner.py
+++ b/foldhoist/delivery/owner.py
@@ -156,7 +156,7 @@
         return [CancelCall(ticket_id)]
 
     def fate(self, now: float, link: int, message: FateAsk) -> list[Action]:
-        """Send the results of calls that were sent over a lost connection, unless they run."""
+        """Send the results of calls sent over a lost connection, except those that wait or run."""
         peer = self._peers.at(link)
         if peer is None:
             return []
@@ -277,7 +277,7 @@
         return self._reports.to_all() if self.status.clear_leaving(source) else []
 
     def tick(self, now: float) -> list[Action]:
-        """Refuse calls that waited too long, drop orphaned ones, and expire peers and keys."""
+        """Expire calls, peers and keys, start calls that may start now, and invite trial calls."""
         actions = self._update_cold(now)
         actions += self._apply(now, self.queue.expire(now))
         actions += self._apply(now, self.queue.advance(now))
--- a/foldhoist/delivery/owner_admission.py
+++ b/foldhoist/delivery/owner_admission.py
@@ -1,4 +1,4 @@
-"""Checks that a call passes before an owner admits it; a rejected call never ran."""
+"""Checks that a call passes before an owner admits it; a rejected call is not run."""
 
 from __future__ import annotations
 
--- a/foldhoist/delivery/peers.py
+++ b/foldhoist/delivery/peers.py
@@ -53,7 +53,7 @@
         return self._by_incarnation.values()
 
     def at(self, link: int) -> Peer | None:
-        """Return the ingress of a connection; None before its Hello and once it was replaced."""
+        """Return the ingress of a connection; None before its Hello and once replaced or lost."""
         return self._by_link.get(link)
 
     def links(self) -> list[int]:
@@ -119,7 +119,7 @@
 
 
 def drop_acked(peer: Peer, acked: int) -> None:
-    """Drop the results with a sequence number below `acked`: the ingress has them."""
+    """Drop results that the ingress has: the oldest ones, up to the first not below `acked`."""
     while peer.kept:
         seq = next(iter(peer.kept))
         if seq >= acked:
--- a/foldhoist/delivery/pieces.py
+++ b/foldhoist/delivery/pieces.py
@@ -1,4 +1,4 @@
-"""Splits large answers into pieces, so that other messages can be interleaved; no I/O.
+"""Splits large answers of bulk routes, so that other messages can be interleaved; no I/O.
 
 An answer is delivered complete or not at all: one cut off by a lost connection is dropped.
 """
@@ -67,7 +67,7 @@
 class Reassembler:
     """Reassembles the answers received over one connection.
 
-    `limit` is the total size of incomplete answers, bytes.
+    `limit` is the largest total size of incomplete answers, bytes.
     """
 
     def __init__(self, limit: int) -> None:
--- a/foldhoist/delivery/replies.py
+++ b/foldhoist/delivery/replies.py
@@ -25,7 +25,8 @@
 ) -> Frame:
     """Return an answer; `times_us` is the wait for a slot and the service time, microseconds.
 
-    An answer of a `bulk` route may be sent in pieces.
+    `ahead` counts the calls ahead of it on arrival, -1 if unknown. An answer of a `bulk` route may
+    be sent in pieces.
     """
     waited_us, served_us = times_us
     body: Answer = {
--- a/foldhoist/delivery/rules.py
+++ b/foldhoist/delivery/rules.py
@@ -124,7 +124,7 @@
 
 
 def choose_key_home(call: Call, state: ServiceState, up: Container[str]) -> Choice | NoChoice:
-    """Return the home of the call's idempotency key if it is connected, else the reason."""
+    """Return the home of the call's key, or `NoChoice` if it has none or that is not connected."""
     name = home(state.homes, call.req.key)
     if name is None:
         return NoChoice("key-has-no-home", 1.0)
--- a/foldhoist/delivery/services.py
+++ b/foldhoist/delivery/services.py
@@ -102,7 +102,7 @@
     def track(
         self, now: float, tracked: Mapping[str, list[Member]], up: Container[str], daemons: int
     ) -> None:
-        """Set the upstreams to choose from; `up` are the connected ones."""
+        """Set the upstreams to choose from; `up` are those whose owner is connected."""
         for name, state in self._by_name.items():
             state.track(now, tracked.get(name, []))
             for target in state.picker.tracks:
--- a/foldhoist/delivery/upstream_status.py
+++ b/foldhoist/delivery/upstream_status.py
@@ -71,7 +71,10 @@
         return self.upstream["instance"] if self.upstream is not None else ""
 
     def set_state(self, state: str) -> bool:
-        """Set the observed state unless the upstream is leaving; returns whether it changed."""
+        """Set the observed state; returns whether it changed.
+
+        It is ignored while the upstream itself reports that it is leaving.
+        """
         if self.leaving_sources.get("upstream"):
             return False
         if state == "leaving":
@@ -130,7 +133,10 @@
         self.errors += ERROR_SMOOTHING * (1.0 - self.errors)
 
     def take_pace_change(self) -> bool:
-        """Return whether the pace changed since the last report, and mark it as reported if so."""
+        """Return whether the pace changed since the last report, and mark it as reported if so.
+
+        Only a ratio of at least `CHANGE_FACTOR` counts; before any report, to the usual pace.
+        """
         if not self.pace:
             return False
         if not is_change(self.pace, self._reported_pace or USUAL_PACE):
