--- a/tests/unit/tools/test_ablations.py
+++ b/tests/unit/tools/test_ablations.py
@@ -1,4 +1,4 @@
-"""Each mechanism can still be switched off by its text."""
+"""Each ablation still matches its source file."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("ablation", ABLATIONS, ids=lambda each: each.name)
-def test_a_copy_differs_in_one_place_and_is_python(ablation: Ablation, tmp_path: Path) -> None:
+def test_the_copy_has_the_text_replaced_and_compiles(ablation: Ablation, tmp_path: Path) -> None:
     write(ablation, tmp_path)
     source = (tmp_path / ablation.name / ablation.file).read_text()
     assert ablation.text not in source
--- a/tests/unit/tools/test_compare.py
+++ b/tests/unit/tools/test_compare.py
@@ -1,4 +1,4 @@
-"""The same days in different runs, side by side."""
+"""The table that compares days across runs."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     import pytest
 
 
-def test_days_that_all_runs_have_stand_side_by_side_with_their_medians() -> None:
+def test_common_days_are_compared_by_their_medians() -> None:
     ours = {"quiet-1": [0.7, 0.9, 0.8], "trouble-1": [0.5], "drawn": [0.1]}
     assert table({"mixed": ours, "random": {"quiet-1": [0.6], "trouble-1": [0.4]}}) == (
         "| day | mixed | random |\n"
@@ -21,6 +21,6 @@
     )
 
 
-def test_an_entry_that_is_not_there_is_named(capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_unknown_entry_is_reported(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["mixed=00nosuch"]) == 2
     assert "no entry 00nosuch" in capsys.readouterr().out
--- a/tools/ablations.py
+++ b/tools/ablations.py
@@ -1,7 +1,7 @@
-"""Writes copies of the sources with one mechanism of decision switched off, to measure its worth.
+"""Writes copies of the sources with one decision mechanism disabled each, for ablation studies.
 
 `python -m tools.ablations OUT` writes a folder for each mechanism under OUT, with the packages of
-a daemon. Measured in docs/design/further.md.
+a daemon. Results are in docs/design/further.md.
 """
 
 import shutil
@@ -14,12 +14,12 @@
 
 
 class Ablation(NamedTuple):
-    """A mechanism, and the text whose replacement switches it off."""
+    """A mechanism, and the source text whose replacement disables it."""
 
     name: str
     file: str
     text: str
-    off: str
+    replacement: str
 
 
 ABLATIONS = (
@@ -123,7 +123,10 @@
 
 
 def write(ablation: Ablation, out: Path) -> None:
-    """Write the sources without a mechanism to a folder of its name."""
+    """Write the sources with a mechanism disabled to a folder named after it.
+
+    Raises ValueError unless the text occurs exactly once in the file.
+    """
     folder = out / ablation.name
     for package in PACKAGES:
         ignored = shutil.ignore_patterns("__pycache__")
@@ -131,8 +134,8 @@
     path = folder / ablation.file
     source = path.read_text()
     if source.count(ablation.text) != 1:
-        raise ValueError(f"{ablation.name}: {ablation.file} does not hold its text once")
-    path.write_text(source.replace(ablation.text, ablation.off))
+        raise ValueError(f"{ablation.name}: {ablation.file} does not contain its text exactly once")
+    path.write_text(source.replace(ablation.text, ablation.replacement))
 
 
 if __name__ == "__main__":
--- a/tools/binary.py
+++ b/tools/binary.py
@@ -1,7 +1,6 @@
-"""Builds the program as a folder that needs no interpreter: dist/foldhoist/foldhoist.
+"""Builds a standalone program with PyInstaller, dist/foldhoist/foldhoist, and smoke-tests it.
 
-The folder, unlike PyInstaller's single file, runs as one process and unpacks nothing. What was
-built is then run as a daemon and looked at.
+The one-folder layout, unlike a single file, runs as one process and unpacks nothing.
 """
 
 import json
@@ -22,7 +21,7 @@
 
 
 def build() -> Path:
-    """Build; return the program's path."""
+    """Build the program; returns its path."""
     command = [
         *(sys.executable, "-m", "PyInstaller", "--noconfirm", "--onedir", "--log-level", "ERROR"),
         *("--name", "foldhoist", "--distpath", str(ROOT / "dist")),
@@ -38,7 +37,7 @@
 
 
 def run_daemon(binary: Path) -> None:
-    """Run a daemon of it; fail unless it is one process and stops as planned."""
+    """Run the program as a daemon; raises SystemExit unless it is one process and exits with 0."""
     with tempfile.TemporaryDirectory() as scratch:
         settings = Path(scratch) / "daemon.ini"
         address = "127.0.0.1:1"
@@ -68,7 +67,7 @@
 
 
 def main() -> None:
-    """Build, and look at what was built."""
+    """Build the program and smoke-test it."""
     binary = build()
     subprocess.run([binary, "version"], check=True)
     run_daemon(binary)
--- a/tools/compare.py
+++ b/tools/compare.py
@@ -1,6 +1,6 @@
-"""Prints the worth of the same days in journal entries of different runs, side by side.
+"""Prints a table that compares the worth of days across runs, from their journal entries.
 
-`python -m tools.compare NAME=ID[,ID...] ...`; several entries of one name give the median.
+`python -m tools.compare NAME=ID[,ID...] ...`; several entries of one run give the median.
 """
 
 import sys
@@ -9,11 +9,11 @@
 from tools.prices import days_of, entry
 
 Worths = dict[str, list[float]]
-"""The worth of each play of each day, by the day's name."""
+"""Worth of each execution of a day, by the day's name."""
 
 
 def worths_of(ids: str) -> Worths:
-    """Return what the days of these entries were worth; raises LookupError for one not there."""
+    """Return the worth of the days of these entries; raises LookupError for an unknown entry."""
     found: Worths = {}
     for wanted in ids.split(","):
         for day in days_of(entry(wanted)):
@@ -22,7 +22,7 @@
 
 
 def table(runs: dict[str, Worths]) -> str:
-    """Return a Markdown table of the days that all runs have, a column for each run."""
+    """Return a Markdown table of the days common to all runs, a column for each run."""
     first, *others = runs.values()
     shared = [name for name in first if all(name in other for other in others)]
     rows = [f"| day | {' | '.join(runs)} |", "|" + "---|" * (len(runs) + 1)]
@@ -35,7 +35,7 @@
 
 
 def main(named: list[str]) -> int:
-    """Print the table; returns 2 if an entry is not there."""
+    """Print the table; returns 2 if an entry does not exist."""
     try:
         runs = {name: worths_of(ids) for name, _, ids in (each.partition("=") for each in named)}
     except LookupError as exc:
--- a/tools/generate.py
+++ b/tools/generate.py
@@ -1,4 +1,4 @@
-"""Writes code and reference pages from the JSON Schemas; --check only compares."""
+"""Generates code and reference pages from the JSON Schemas; --check only compares them."""
 
 import json
 import subprocess
@@ -12,7 +12,7 @@
 
 
 def generate(name: str, out: Path) -> None:
-    """Run the generator for one schema."""
+    """Generate the code of one schema into a file."""
     command = [
         *(sys.executable, "-m", "datamodel_code_generator"),
         *("--input", str(SCHEMAS / f"{name}.json"), "--input-file-type", "jsonschema"),
@@ -41,7 +41,7 @@
     "settings": ("settings.md", "Settings", "Each daemon reads one INI file with these sections."),
     "fleet": ("fleet-options.md", "Fleet options", "The fleet configuration has these sections."),
 }
-"""Reference pages: file, title and first sentence, by schema."""
+"""File, title and first sentence of the reference pages, by schema."""
 
 
 def reference(name: str) -> str:
@@ -52,15 +52,20 @@
     for section, entry in schema["$defs"].items():
         lines += [f"## {section_title(name, section)}", "", entry["description"], ""]
         lines += ["| option | kind | default | meaning |", "|---|---|---|---|"]
-        for option, about in entry["properties"].items():
-            cells = (f"`{option}`", kind_of(about), default_of(about), about["description"])
+        for option, option_schema in entry["properties"].items():
+            cells = (
+                f"`{option}`",
+                kind_of(option_schema),
+                default_of(option_schema),
+                option_schema["description"],
+            )
             lines.append(f"| {' | '.join(cells)} |")
         lines.append("")
     return "\n".join(lines)
 
 
 def section_title(name: str, section: str) -> str:
-    """Return the section as it is written in a file."""
+    """Return the header of a section as written in a file."""
     if section == "FleetSection":
         return "[fleet]"
     if name == "fleet":
@@ -68,27 +73,27 @@
     return f"[{section.lower()}]"
 
 
-def kind_of(about: dict) -> str:
-    """Return what an option takes."""
-    if "enum" in about:
-        return ", ".join(about["enum"])
-    if "minimum" in about:
-        return f"{about['type']}, {about['minimum']} to {about['maximum']}"
-    return str(about.get("x-kind", about["type"]))
+def kind_of(option_schema: dict) -> str:
+    """Return the accepted values of an option."""
+    if "enum" in option_schema:
+        return ", ".join(option_schema["enum"])
+    if "minimum" in option_schema:
+        return f"{option_schema['type']}, {option_schema['minimum']} to {option_schema['maximum']}"
+    return str(option_schema.get("x-kind", option_schema["type"]))
 
 
-def default_of(about: dict) -> str:
-    """Return the default of an option."""
-    if "default" not in about:
+def default_of(option_schema: dict) -> str:
+    """Return the default of an option for display."""
+    if "default" not in option_schema:
         return "must be given"
-    value = about["default"]
+    value = option_schema["default"]
     if isinstance(value, bool):
         return "yes" if value else "no"
     return f"`{value}`" if value != "" else "empty"
 
 
 def stale_pages(check: bool) -> list[str]:
-    """Write the reference pages, or return those that are not current."""
+    """Write the outdated reference pages, or with `check` return their names instead."""
     stale = []
     for name, (file, _, _) in PAGES.items():
         page = SCHEMAS.parent.parent / "docs" / "operators" / file
@@ -103,22 +108,22 @@
 
 
 def main() -> int:
-    """Return 1 if --check is given and a file differs from what would be generated."""
+    """Generate all files; with --check returns 1 if one is outdated and writes none."""
     stale = []
     with tempfile.TemporaryDirectory() as scratch:
         for name in NAMES:
-            made = Path(scratch) / f"{name}.py"
-            generate(name, made)
-            kept = SCHEMAS / f"{name}.py"
-            if kept.exists() and kept.read_text() == made.read_text():
+            generated = Path(scratch) / f"{name}.py"
+            generate(name, generated)
+            current = SCHEMAS / f"{name}.py"
+            if current.exists() and current.read_text() == generated.read_text():
                 continue
             if "--check" in sys.argv:
                 stale.append(name)
                 continue
-            kept.write_text(made.read_text())
+            current.write_text(generated.read_text())
     stale = [f"foldhoist/schema/{name}.py" for name in stale] + stale_pages("--check" in sys.argv)
     for name in stale:
-        print(f"{name} is not what its schema gives: run `make generate`")
+        print(f"{name} differs from its schema: run `make generate`")
     return 1 if stale else 0
 
 
--- a/tools/prices.py
+++ b/tools/prices.py
@@ -1,6 +1,6 @@
-"""Prints what the days of journal entries earned and paid, as a table: a row a day.
+"""Prints a table of the scores and prices of the days in journal entries, a row for each day.
 
-`python -m tools.prices ID ...`; several entries of the same days give medians and spreads.
+`python -m tools.prices ID ...`; several entries with the same day give median and range.
 """
 
 import json
@@ -11,12 +11,12 @@
 from typing import Any, NamedTuple
 
 JOURNAL = Path(__file__).resolve().parent.parent / "journal"
-LEAST = 0.0005
-"""Prices below this on every day have no column."""
+MIN_SHOWN_PRICE = 0.0005
+"""Prices below this on every day get no column; smaller ranges are not shown."""
 
 
 def entry(wanted: str) -> dict[str, Any]:
-    """Return the journal entry of this id; raises LookupError if there is none."""
+    """Return the journal entry with this id; raises LookupError if it does not exist."""
     paths = sorted(JOURNAL.glob(f"*-{wanted}.json"))
     if not paths:
         raise LookupError(
@@ -27,7 +27,7 @@
 
 
 class Day(NamedTuple):
-    """What one day came to; prices are parts of its worth."""
+    """Scores of a day; `prices` are the parts of its worth by kind."""
 
     name: str
     score: float
@@ -37,7 +37,7 @@
 
 
 def days_of(entry: dict[str, Any]) -> list[Day]:
-    """Return the days of a journal entry as the bench wrote it."""
+    """Return the days of a journal entry, with prices as absolute values."""
     found: list[Day] = []
     for day in entry["days"]:
         prices = {name: abs(part) for name, _, part in day["prices"]}
@@ -46,12 +46,14 @@
 
 
 def table(days: list[Day]) -> str:
-    """Return a Markdown table with a row for each name of a day."""
+    """Return a Markdown table with a row for each day name."""
     by_name: dict[str, list[Day]] = defaultdict(list)
     for day in days:
         by_name[day.name].append(day)
     kinds = list(dict.fromkeys(kind for day in days for kind in day.prices))
-    paid = [kind for kind in kinds if any(day.prices.get(kind, 0.0) >= LEAST for day in days)]
+    paid = [
+        kind for kind in kinds if any(day.prices.get(kind, 0.0) >= MIN_SHOWN_PRICE for day in days)
+    ]
     head = ["day", "plays", "score", "worth", "served in aim", *paid]
     rows = ["| " + " | ".join(head) + " |", "|" + "---|" * len(head)]
     for name, plays in by_name.items():
@@ -64,13 +66,13 @@
 
 def _spread(values: list[float]) -> str:
     middle = f"{median(values):.3f}"
-    if len(values) == 1 or max(values) - min(values) < LEAST:
+    if len(values) == 1 or max(values) - min(values) < MIN_SHOWN_PRICE:
         return middle
     return f"{middle} ({min(values):.3f} to {max(values):.3f})"
 
 
 def main(ids: list[str]) -> int:
-    """Print the table of these entries; returns 2 if there is none of that id."""
+    """Print the table of these entries; returns 2 if an entry does not exist."""
     try:
         days = [day for wanted in ids for day in days_of(entry(wanted))]
     except LookupError as exc:
--- a/tools/variants.py
+++ b/tools/variants.py
@@ -1,6 +1,6 @@
-"""Writes variants of a site file of the users' bench: deployments that nobody has tuned for.
+"""Writes variants of a site file with other processor shares, machines and data centres.
 
-The bench and its site files are no part of the repository; they are given as arguments.
+`python -m tools.variants SITE FOLDER`; site files are not part of the repository.
 """
 
 import re
@@ -9,18 +9,18 @@
 from pathlib import Path
 
 SMALL_SHARE = "0.172"
-"""A fifth of the processor that the machines of the sites have."""
+"""Processor share of each machine in the variant `small`."""
 MACHINE = re.compile(r"^  \{ class = .*$", re.MULTILINE)
-"""A line of the list of machines."""
+"""A line of the list of machines in a site file."""
 
 
 def small(text: str) -> str:
-    """Return the site with a fifth of the processor on each machine."""
+    """Return the site with a small processor share on each machine."""
     return re.sub(r"cpu_share = [0-9.]+", f"cpu_share = {SMALL_SHARE}", text)
 
 
 def lone(text: str) -> str:
-    """Return the site with one machine for its second service, and none for its last."""
+    """Return the site with one machine for its second service and none for its last."""
     apps = list(dict.fromkeys(re.findall(r'app = "([^"]+)"', text)))
     seen: set[str] = set()
 
@@ -38,7 +38,7 @@
 
 
 def scattered(text: str) -> str:
-    """Return the site with a data centre of its own for each machine but those of one service."""
+    """Return the site with a separate data centre for each machine outside the first service."""
     apps = list(dict.fromkeys(re.findall(r'app = "([^"]+)"', text)))
     added: list[str] = []
 
@@ -60,7 +60,7 @@
 
 
 def main(site: str, folder: str) -> int:
-    """Write every variant of a site file into a folder; prints their paths."""
+    """Write every variant of a site file to a folder and print the paths."""
     source, target = Path(site), Path(folder)
     target.mkdir(parents=True, exist_ok=True)
     shutil.copyfile(source.with_name("wire.json"), target / "wire.json")
