--- a/bench/capacity_spread.py
+++ b/bench/capacity_spread.py
@@ -105,11 +105,11 @@
             print(cases[-1], flush=True)
             if size == SIZES[-1]:
                 cases += with_losses(fleet, names)
-    whole = [case for case in cases if case["case"] == "all"]
-    sizes = [float(case["daemons"]) for case in whole]
+    without_losses = [case for case in cases if case["case"] == "all"]
+    sizes = [float(case["daemons"]) for case in without_losses]
     return {
         "cases": cases,
-        "last_s": points(sizes, [case["last_s"]["median"] for case in whole]),
+        "last_s": points(sizes, [case["last_s"]["median"] for case in without_losses]),
     }
 
 
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -65,13 +65,13 @@
         remote_s: float = 0.0,
     ) -> Pick:
         """Choose the upstream that would finish one more call first."""
-        best, least = "", float("inf")
+        best, lowest_cost = "", float("inf")
         for name, stats in self.tracks.items():
             if not stats.connected or name in excluded or name in self.simulation.down:
                 continue
             cost = self._cost(name, now)
-            if cost < least:
-                best, least = name, cost
+            if cost < lowest_cost:
+                best, lowest_cost = name, cost
         if not best:
             return NoChoice("no-other-upstream", 0.1)
         return Choice(best, "oracle", ())
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -148,11 +148,11 @@
     def schedule_every(self, period: float, run: Callable[[], Any]) -> None:
         """Call a function periodically, first after one period."""
 
-        def again() -> None:
+        def run_and_reschedule() -> None:
             run()
-            self.schedule(period, again)
+            self.schedule(period, run_and_reschedule)
 
-        self.schedule(period, again)
+        self.schedule(period, run_and_reschedule)
 
     def run(self) -> list[CallOutcome]:
         """Run the case and 0.6 s more for its last calls; returns the outcomes."""
--- a/tools/kinds.py
+++ b/tools/kinds.py
@@ -1,7 +1,7 @@
-"""Runs one day for each kind of fault or planned operation on an external benchmark; prints a table.
+"""Runs a day for each kind of fault or planned operation on an external benchmark.
 
-`python -m tools.kinds PROGRAM all|DAY[,DAY...] SITE...`; the program and the site files are not
-part of the repository.
+Prints a table of the results. `python -m tools.kinds PROGRAM all|DAY[,DAY...] SITE...`; program
+and site files are not part of the repository.
 """
 
 import re
--- a/tools/prices.py
+++ b/tools/prices.py
@@ -56,10 +56,10 @@
     ]
     head = ["day", "plays", "score", "worth", "served in aim", *paid]
     rows = ["| " + " | ".join(head) + " |", "|" + "---|" * len(head)]
-    for name, plays in by_name.items():
-        cells = [name, str(len(plays))]
-        cells += [_spread([getattr(day, field) for day in plays]) for field in Day._fields[1:4]]
-        cells += [_spread([day.prices.get(kind, 0.0) for day in plays]) for kind in paid]
+    for name, repeats in by_name.items():
+        cells = [name, str(len(repeats))]
+        cells += [_spread([getattr(day, field) for day in repeats]) for field in Day._fields[1:4]]
+        cells += [_spread([day.prices.get(kind, 0.0) for day in repeats]) for kind in paid]
         rows.append("| " + " | ".join(cells) + " |")
     return "\n".join(rows)
 
