--- a/foldhoist/commands/explain.py
+++ b/foldhoist/commands/explain.py
@@ -90,14 +90,14 @@
     return {"trace": trace, "parts": parts, "silent": no_answer}
 
 
-def format_records(told: dict[str, Any]) -> str:
+def format_records(collected: dict[str, Any]) -> str:
     """Return the collected records as text."""
-    lines = [f"call {told['trace']}"]
-    hops = {hop["seq"]: hop for part in told["parts"] for hop in part["hops"]}
-    for part in told["parts"]:
+    lines = [f"call {collected['trace']}"]
+    hops = {hop["seq"]: hop for part in collected["parts"] for hop in part["hops"]}
+    for part in collected["parts"]:
         for call in part["calls"]:
             lines += _call_lines(part["daemon"], call, hops)
-    for address in told["silent"]:
+    for address in collected["silent"]:
         lines.append(f"no answer from the daemon at {address}: its records are missing")
     return "\n".join(lines)
 
--- a/foldhoist/config/fleet.py
+++ b/foldhoist/config/fleet.py
@@ -86,7 +86,7 @@
 
 
 def check_change(old: Fleet, new: Fleet, file: str) -> list[Fault]:
-    """Return the faults of a change: a target may be removed only after it was retired.
+    """Return the faults of a change: only retired targets may be removed, and they stay retired.
 
     Otherwise a removed target that still runs calls with idempotency keys could not be
     distinguished from one that is switched off.
--- a/foldhoist/observe/events.py
+++ b/foldhoist/observe/events.py
@@ -1,8 +1,8 @@
 """Logs calls, attempts and changes of state as events, limited in rate.
 
-Calls answered on time by their first attempt are sampled; all others are logged as far as the rate
-limit allows. Each event has a limit of its own, and its next line after a gap gives the number of
-lines left out.
+Calls answered on time by their first attempt are sampled, and so are attempts at their owner,
+unless the status is a server error. All others are logged as far as the rate limit allows. Each
+kind of event has its own limit; its next line after a gap gives the number of lines left out.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
     from foldhoist.routing.policies import Scored
 
 LINES_PER_S = 20.0
-"""Sustained rate of one event, lines per second."""
+"""Sustained rate of one kind of event, lines per second."""
 LINES_BURST = 200.0
-"""Most lines of one event in a burst."""
+"""Most lines of one kind of event in a burst."""
 MIN_FAILURE_STATUS = 500
 """Lowest status that counts as a failure of the upstream."""
 
@@ -49,7 +49,7 @@
         self._write_bounded(now, "call", _call_fields(record))
 
     def log_hop(self, now: float, hop: Ended) -> None:
-        """Log a call that ended at this owner."""
+        """Log a call that ended at this owner; answers below status 500 are sampled."""
         ordinary = hop.result.startswith(("answered 2", "answered 3", "answered 4"))
         if ordinary and self._rng.random() >= self.share:
             return
--- a/foldhoist/observe/latencies.py
+++ b/foldhoist/observe/latencies.py
@@ -42,8 +42,8 @@
         summaries: dict[str, dict[str, float]] = {}
         for name, histogram in self._by_name.items():
             entry = {"count": float(histogram.get_total_count())}
-            for quantile in PERCENTILES:
-                entry[f"p{quantile:g}"] = float(histogram.get_value_at_percentile(quantile))
+            for percentile in PERCENTILES:
+                entry[f"p{percentile:g}"] = float(histogram.get_value_at_percentile(percentile))
             summaries[name] = entry
         return summaries
 
--- a/foldhoist/observe/metrics.py
+++ b/foldhoist/observe/metrics.py
@@ -49,7 +49,7 @@
 def _summary(name: str, entry: dict[str, float]) -> SummaryMetricFamily:
     family = SummaryMetricFamily(f"foldhoist_{name}_seconds", f"latency of {name}")
     family.add_metric([], count_value=int(entry["count"]), sum_value=0)
-    for quantile in PERCENTILES:
-        labels = {"quantile": f"{quantile / 100:g}"}
-        family.add_sample(f"foldhoist_{name}_seconds", labels, entry[f"p{quantile:g}"] / 1e6)
+    for percentile in PERCENTILES:
+        labels = {"quantile": f"{percentile / 100:g}"}
+        family.add_sample(f"foldhoist_{name}_seconds", labels, entry[f"p{percentile:g}"] / 1e6)
     return family
--- a/foldhoist/observe/records.py
+++ b/foldhoist/observe/records.py
@@ -68,7 +68,10 @@
 
 
 def record_report(record: Record) -> dict[str, Any]:
-    """Return a call's record as JSON fields; times are microseconds from arrival."""
+    """Return a call's record as JSON fields.
+
+    `sent_us` and `ended_us` count from the arrival; the times of candidates are seconds.
+    """
     return {
         "trace": trace_id(record.trace),
         "service": record.service,
