--- a/foldhoist/daemon/callers.py
+++ b/foldhoist/daemon/callers.py
@@ -74,7 +74,7 @@
         self.bodies.limit = limits["held_bytes"]
 
     async def close_overdue(self) -> None:
-        """Close overdue connections; one periodic check costs less than a timer for each."""
+        """Close overdue connections and abort slow readers, checking all of them periodically."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             now = time.monotonic()
@@ -157,7 +157,7 @@
         self._state.slow_readers.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse requests; an invalid one ends the connection, after any pending answer."""
+        """Parse requests; an invalid one ends the connection, once the running one is answered."""
         if self._ended:
             return
         if not self._in_request and not self._busy:
@@ -200,7 +200,7 @@
             raise _TooLargeError(431, "headers-too-large")
 
     def on_headers_complete(self) -> None:
-        """Send 100 Continue if the caller expects it."""
+        """Restart the request timer, and send 100 Continue if the caller expects it."""
         self._head_done = True
         if not self._busy:
             self._set_timer(self._state.limits["request_ms"])
--- a/foldhoist/daemon/configuration.py
+++ b/foldhoist/daemon/configuration.py
@@ -109,7 +109,7 @@
             self._ask(ask["answer_to"])
 
     def on_held(self, held: Held) -> None:
-        """Handle a peer's answer: the generation it holds and the time since the log was read."""
+        """Handle a peer's generation, requested if newer, and the time since the log was read."""
         behind = held["generation"] < self.state.generation
         self.peers.on_answer(asyncio.get_running_loop().time(), held, behind)
         if held["generation"] > self.state.generation and self.fleet is not None:
@@ -190,7 +190,7 @@
 
     def _set_log_ok(self, ok: bool, what: str = "") -> None:
         if ok != self.log_ok:
-            logger.info("platform log: {}", "reachable" if ok else f"not reachable, {what}")
+            logger.info("platform log: {}", "reachable" if ok else f"read failed, {what}")
         self.log_ok = ok
 
     async def _refresh_snapshot(self) -> None:
@@ -292,7 +292,7 @@
         )
 
     def _push(self, state: State) -> None:
-        """Push a new generation to this daemon's children in the tree of the one before."""
+        """Push a new generation to this daemon's children, as the previous one determined them."""
         if self.fleet is None:
             return
         snapshot = to_snapshot(state)
--- a/foldhoist/daemon/frames.py
+++ b/foldhoist/daemon/frames.py
@@ -21,7 +21,7 @@
 The connection is closed if either exceeds it.
 """
 PIECE_RETRY_S = 0.005
-"""Interval at which a full connection is checked for room for the next piece, seconds."""
+"""Pause before further pieces while the send buffer holds more than one piece, seconds."""
 
 
 class FrameConnection(asyncio.Protocol):
@@ -101,7 +101,7 @@
         self._transport.write(data)
 
     def _send_pieces(self) -> None:
-        """Send pieces until the send buffer is full; other messages go in between."""
+        """Send pieces until the send buffer exceeds one piece; other messages go in between."""
         self._piece_timer = None
         while self._transport is not None and self._fragmenter.pending_bytes:
             if self._transport.get_write_buffer_size() > PIECE_BYTES:
--- a/foldhoist/daemon/graceful_shutdown.py
+++ b/foldhoist/daemon/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: callers leave first, then the calls to the upstream end, then the process."""
+"""Graceful shutdown: closes the connections of callers, ends calls to the upstream, then stops."""
 
 from __future__ import annotations
 
--- a/foldhoist/daemon/handover.py
+++ b/foldhoist/daemon/handover.py
@@ -15,7 +15,7 @@
     from foldhoist.schema.messages import Handed, Handover
 
 RETRY_INTERVAL_S = 0.5
-"""Interval of requests to former homes that have not answered, seconds."""
+"""Interval of requests to targets that have not handed over their keys, seconds."""
 
 
 class HandoverTask:
@@ -38,7 +38,7 @@
             self._task.cancel()
 
     def adopt(self, generation: int, fleet: Fleet) -> None:
-        """Apply a generation; request keys from former homes, and answer requests that waited."""
+        """Apply a generation; request keys from other targets, and answer requests that waited."""
         self._fleet = fleet
         service = self._owner.service
         others = [name for name in targets_of(fleet, service)]
@@ -50,7 +50,7 @@
                 self.on_handover(message)
 
     def on_handover(self, message: Handover) -> None:
-        """Answer a new home's request, once this daemon has adopted its generation."""
+        """Send a target the keys whose home it now is, once its generation is adopted here."""
         if message["service"] != self._owner.service:
             return
         keys = self._owner.keys
@@ -68,7 +68,7 @@
         self._control.send(message["answer_to"], "Handed", handed)
 
     def on_handed(self, message: Handed) -> None:
-        """Import the keys of a former home."""
+        """Import the keys that another target hands over."""
         if message["service"] == self._owner.service:
             self._owner.keys.handed(asyncio.get_running_loop().time(), message)
 
--- a/foldhoist/daemon/links.py
+++ b/foldhoist/daemon/links.py
@@ -16,7 +16,7 @@
     from foldhoist.schema.messages import Hello
 
 MIN_RETRY_S = 0.02
-"""First pause after a failed attempt to connect, seconds; doubled after each failure."""
+"""First pause after a failed attempt to connect, before jitter, seconds; doubles each time."""
 MAX_RETRY_S = 0.5
 """Longest pause after a failed attempt to connect, seconds, before jitter."""
 CONNECT_TIMEOUT_S = 1.0
@@ -24,7 +24,7 @@
 RETRY_NOW_TIMEOUT_S = 0.1
 """Longest such wait once the peer is known to be running, seconds.
 
-The first packet to a host that was down is lost, and the system retransmits it after a second only.
+The first packet to a host that was down is lost, and the system retransmits it only after a second.
 """
 UNWANTED_CLOSE_S = 10.0
 """An unwanted link is closed after this time, seconds; longer than calls usually take."""
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -361,7 +361,7 @@
         return self.registry.tracked(now, self.upstream.known.current)
 
     def _report_change(self) -> None:
-        """Report a change of this daemon to its data centre and to all connected ingresses."""
+        """Report a change to this data centre and all ingresses; a new service, also to relays."""
         recipients = self.peers.report_to_data_centre()
         for link, name in self.owner_task.ingresses():
             if name not in recipients:
--- a/foldhoist/daemon/operators.py
+++ b/foldhoist/daemon/operators.py
@@ -1,4 +1,4 @@
-"""HTTP server for operators: status, metrics, records, configuration, drain."""
+"""HTTP server for operators: status, metrics, configuration, records by order or trace, drain."""
 
 from __future__ import annotations
 
--- a/foldhoist/daemon/owner_task.py
+++ b/foldhoist/daemon/owner_task.py
@@ -47,7 +47,7 @@
 GOAWAY_TIMEOUT_S = 1.0
 """Longest wait for ingresses to acknowledge a Goaway, seconds."""
 MIN_GOAWAY_TIMEOUT_S = 0.1
-"""Wait for them even if the shutdown has reached its time limit, seconds."""
+"""Longest such wait once the shutdown has reached its time limit, seconds."""
 GOAWAY_CHECK_S = 0.01
 """Interval at which their acknowledgements are checked, seconds."""
 UPSTREAM_UNREACHABLE = "upstream-unreachable"
@@ -235,8 +235,8 @@
     def _log_state_change(self, before: str) -> None:
         after = self.owner.load()["state"]
         if after != before:
-            reporters = ", ".join(self.owner.status.leaving_sources) or "upstream"
-            logger.info("upstream is {} (reported by {}), was {}", after, reporters, before)
+            causes = ", ".join(self.owner.status.leaving_sources) or "upstream"
+            logger.info("upstream is {} (cause: {}), was {}", after, causes, before)
 
     def _on_message(self, conn: FrameConnection, kind: str, body: Any) -> None:
         if kind == "Hello":
--- a/foldhoist/daemon/peer_messages.py
+++ b/foldhoist/daemon/peer_messages.py
@@ -82,7 +82,7 @@
     # Steps
 
     def _on_crashes(self, message: Crashes) -> None:
-        """Merge suspected calls from another daemon; relays them here if `spread` is set."""
+        """Merge a daemon's suspected calls; relays them in this data centre if `spread` is set."""
         daemon = self._daemon
         daemon.owner_task.learn_crashes(message["suspects"])
         if message["spread"]:
--- a/foldhoist/daemon/peers_task.py
+++ b/foldhoist/daemon/peers_task.py
@@ -30,7 +30,7 @@
     from foldhoist.schema.messages import Member, Roster, Row
 
 MIN_RETRY_S = 0.15
-"""First pause after a failed call to the store, seconds; doubled after each failure."""
+"""First pause after a failed call to the store, before jitter, seconds; doubles each time."""
 MAX_RETRY_S = 2.0
 """Longest pause after a failed call to the store, seconds, before jitter."""
 LINK_UPDATE_S = 1.0
@@ -43,7 +43,7 @@
 Limits the number of messages when all hosts of a data centre start at once.
 """
 ROSTER_REQUESTS = 2
-"""Peers that are asked for their full roster after a start; a single one may be just as new."""
+"""Peers asked for their full roster after a start; one alone may have just started itself."""
 
 
 class PeersTask:
@@ -171,7 +171,7 @@
             self._send_inbound(name, kind, body)
 
     def broadcast(self, kind: str, body: Any, local: bool | None = None) -> None:
-        """Send a message to all connected peers, or only to local or to remote ones."""
+        """Send a message on all connections opened here, or only to local or to remote peers."""
         for name in self._links.connected():
             if local is not None and self.is_local(name) != local:
                 continue
--- a/foldhoist/daemon/ports.py
+++ b/foldhoist/daemon/ports.py
@@ -56,10 +56,10 @@
         """Write this daemon's record; the newest record of a name counts."""
 
     passed_over: int
-    """Number of records read so far that name no daemon."""
+    """Number of invalid records ignored so far."""
 
     async def registrations(self) -> Result[list[Registration], StoreFault]:
-        """Return the records of all daemons; a record that names none is skipped."""
+        """Return the records of all daemons; invalid records are skipped and counted."""
 
     def close(self) -> None:
         """Close every connection."""
@@ -78,11 +78,11 @@
         """
 
     def on_invalid(self, fault: str) -> None:
-        """Count an invalid announcement and log it within a rate limit."""
+        """Count a rejected announcement or departure, and log it within a rate limit."""
 
 
 class Endpoints(Protocol):
-    """The servers that the platform calls; `addresses` maps their names to IP:port."""
+    """The servers for the platform and the upstream; `addresses` maps their names to IP:port."""
 
     addresses: dict[str, str]
 
@@ -107,7 +107,7 @@
         is_ready: Callable[[], bool],
         metrics: Callable[[], bytes],
     ) -> Endpoints:
-        """Start the servers that the platform calls."""
+        """Start the servers for the platform and the upstream."""
 
     def translate(self, version: Version) -> Result[Fleet, str]:
         """Return the configuration as a fleet, or the reason why it cannot be used."""
--- a/foldhoist/daemon/request.py
+++ b/foldhoist/daemon/request.py
@@ -77,7 +77,7 @@
 
 
 def traceparent_of_id(name: str) -> str:
-    """Return a traceparent with a request's id as trace id, or a new one if that is not hex."""
+    """Return a traceparent with a request's id, up to 32 hex digits, as trace id, or a new one."""
     if _HEX_ID.match(name):
         return f"00-{name:0>32}-{name[-16:]:0>16}-00"
     return next_traceparent("")
--- a/foldhoist/daemon/sampler.py
+++ b/foldhoist/daemon/sampler.py
@@ -1,6 +1,6 @@
 """Samples the upstream's pace, and whether it is cold, from its health path.
 
-The health itself is not sampled; it is judged by the results of calls.
+Samples do not decide whether the upstream is up or down.
 """
 
 from __future__ import annotations
@@ -93,7 +93,7 @@
         self._head.add(name, value)
 
     def on_message_complete(self) -> None:
-        """End the request with the sample in the answer; the dialect gets the status, too."""
+        """End the request with the sample that the dialect reads from status and headers."""
         if self._answer is not None and not self._answer.done():
             status = self._parser.get_status_code()
             self._answer.set_result(self._dialect.sample(status, self._head))
--- a/foldhoist/daemon/upstream.py
+++ b/foldhoist/daemon/upstream.py
@@ -161,7 +161,10 @@
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Mark the answer as complete; the call ends once the received bytes are parsed."""
+        """Mark the answer as complete; skips interim answers and those to another call.
+
+        The call ends once the received bytes are parsed.
+        """
         if self._complete:
             return
         result = self._interpret() if self._status >= 200 else None
--- a/foldhoist/daemon/upstream_task.py
+++ b/foldhoist/daemon/upstream_task.py
@@ -1,4 +1,7 @@
-"""Applies the upstream's announcements; departures are acknowledged once they are recorded."""
+"""Applies the upstream's announcements.
+
+A departure is acknowledged once a peer or the store has recorded it, or after a timeout.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +39,7 @@
 MAX_WRITE_RETRY_S = 3.0
 """Maximum pause after a failed write, seconds."""
 INVALID_LOG_LINES_PER_S = 0.1
-"""Rate limit of log lines on invalid announcements, which are often repeated."""
+"""Rate limit of log lines on rejected announcements, which are often repeated."""
 INVALID_LOG_LINES_BURST = 5.0
 """Number of such lines that may be written in a burst."""
 MAX_FAULT_CHARS = 300
@@ -45,7 +48,7 @@
 
 @dataclass(slots=True)
 class Counters:
-    """Counters of announcements since this daemon started; `passed_over` were invalid."""
+    """Counters of announcements: `heard` were handled, `passed_over` were rejected."""
 
     heard: int = 0
     passed_over: int = 0
@@ -143,12 +146,10 @@
         return True
 
     def on_invalid(self, fault: str) -> None:
-        """Count an invalid announcement and log it within the rate limit."""
+        """Count a rejected announcement or departure, and log it within the rate limit."""
         self.count.passed_over += 1
         if self._log_bucket.take(self._loop.time()):
-            logger.warning(
-                "invalid announcement of the upstream is ignored: {}", fault[:MAX_FAULT_CHARS]
-            )
+            logger.warning("announcement of the upstream is rejected: {}", fault[:MAX_FAULT_CHARS])
 
     async def on_departure(self, instance: str, born_ms: int) -> bool:
         """Apply the departure of an incarnation; return once it may be acknowledged.
@@ -188,7 +189,7 @@
         self._apply_ended(ended)
 
     def add_ended(self, ended: Iterable[UpstreamIncarnation]) -> None:
-        """Add incarnations that a peer recorded as ended for an earlier run of this daemon."""
+        """Add ended incarnations that a peer knows from an earlier incarnation of this daemon."""
         self._barrier.peer_remembered()
         self._apply_ended(ended)
 
--- a/foldhoist/daemon/versions_task.py
+++ b/foldhoist/daemon/versions_task.py
@@ -260,7 +260,7 @@
         """Return how long the store may wait for data, milliseconds; 0 if its last call failed.
 
         A call to a store that stops answering hangs until its timeout, even if the store recovers
-        earlier. So readers wait for different times, and only briefly after a failure.
+        earlier. So readers wait for different times, and not at all after a failure.
         """
         if not self.store_ok:
             return 0
@@ -271,7 +271,7 @@
         if ok == self.store_ok:
             return
         self.store_ok = ok
-        logger.info("store {}", "answers" if ok else f"does not answer: {what}")
+        logger.info("store {}", "answers" if ok else f"call failed: {what}")
         if not ok:
             self._peers.broadcast("Fresh", self._fresh(wanted=False), local=True)
 
