--- a/foldhoist/admission/due.py
+++ b/foldhoist/admission/due.py
@@ -1,8 +1,8 @@
 """The owner's slots and a queue ordered by due time, for routes with objectives; no I/O, no clock.
 
-Calls that can still be on time start first, in order of their due times; calls that can't be on
-time any more start after them. A call that would wait too long is refused on arrival, so that its
-caller can try elsewhere.
+Calls that can still be on time start first, in order of their due times, those of low priority
+last. Calls that can't be on time any more start after them, in order of their latest start. A call
+that would wait too long is refused on arrival, so that its caller can try elsewhere.
 """
 
 from __future__ import annotations
--- a/foldhoist/membership/neighbours.py
+++ b/foldhoist/membership/neighbours.py
@@ -1,6 +1,6 @@
 """Selects the peers that a daemon connects to and the upstreams that it tracks; no I/O.
 
-A daemon connects to every daemon of its own data centre. In other data centres it connects to the
+A daemon connects to every daemon of its data centre. In other data centres it connects to the
 daemons of some upstreams of each service and to some relays. Its state grows with its data centre
 and the number of services, not with the fleet. Daemons select different upstreams of a service, so
 that each upstream has about the same number of ingresses.
@@ -18,7 +18,7 @@
     from collections.abc import Callable
 
 MAX_LOCAL = 18
-"""Maximum number of usable upstreams of one service tracked in the own data centre."""
+"""Maximum number of usable upstreams of one service tracked in this data centre."""
 MIN_REMOTE = 6
 """Number of upstreams of one service tracked in other data centres at least, if they exist."""
 MIN_TRACKED = 16
@@ -63,7 +63,7 @@
         return {*self._local, *self._remote}
 
     def local_daemons(self) -> list[str]:
-        """Return every other daemon of the own data centre."""
+        """Return every other daemon of this data centre."""
         own = self._by_data_centre.get(self._data_centre)
         return list(own) if own is not None else []
 
@@ -76,7 +76,7 @@
         return found
 
     def local(self, service: str, is_usable: Callable[[str], bool]) -> list[str]:
-        """Return the daemons of the own data centre to track for a service."""
+        """Return the daemons of this data centre to track for a service."""
         return _take_usable(self._local.get(service), self._name, MAX_LOCAL, is_usable)
 
     def remote(self, service: str, is_usable: Callable[[str], bool]) -> list[str]:
--- a/foldhoist/membership/upstream.py
+++ b/foldhoist/membership/upstream.py
@@ -40,8 +40,11 @@
     """The effect of an announcement or a departure."""
 
     NOTHING = "nothing"
+    """Late, or without a change of service, slots and state."""
     STATE = "state"
+    """A new incarnation is ready, or service, slots or state of the known one changed."""
     LEAVING = "leaving"
+    """An incarnation is leaving or gone and gets no more calls."""
     UNSURE = "unsure"
     """Ignored, as it may be of the previous incarnation; the upstream must repeat it."""
 
--- a/foldhoist/membership/view.py
+++ b/foldhoist/membership/view.py
@@ -12,7 +12,10 @@
     from foldhoist.schema.fleet import Fleet
 
 REMOTE_DIVISOR = 4
-"""One in this many tracked upstreams is in another data centre if more exist than are tracked."""
+"""One in this many tracked upstreams is remote if more exist than are tracked.
+
+Those take over if this data centre is lost.
+"""
 
 
 def tracked(fleet: Fleet, name: str, data_centre: str) -> dict[str, list[Member]]:
--- a/foldhoist/routing/picker.py
+++ b/foldhoist/routing/picker.py
@@ -83,7 +83,9 @@
 class Picker:
     """Selects among the upstreams of one service; `now` is monotonic time in seconds.
 
-    `eject_share` is the largest share of the upstreams that may be ejected at a time.
+    `eject_share` is the largest share of the upstreams that may be ejected at a time, `evacuated`
+    the data centres that get no calls, and `cold_s` the cost, seconds, that the policy `Mixed` adds
+    to upstreams that report to be cold.
     """
 
     def __init__(self, policy: Policy, data_centre: str, eject_share: float, rng: Random) -> None:
--- a/foldhoist/routing/policies.py
+++ b/foldhoist/routing/policies.py
@@ -55,9 +55,9 @@
 class HotCold:
     """Picks the fastest of the cold upstreams, as Prequal does.
 
-    An upstream is hot if its occupancy is above the `quantile` of all. If none is hot and one may
-    be full, the least occupied is picked (Wydrowski and others, "Load is not what you should
-    balance: introducing Prequal", NSDI 2024).
+    An upstream is hot if its occupancy is above the `quantile` of all, else cold, whatever state it
+    reports. If none is hot and one may be full, the least occupied is picked (Wydrowski and others,
+    "Load is not what you should balance: introducing Prequal", NSDI 2024).
     """
 
     quantile: float = 0.7
