--- a/foldhoist/commands/explain.py
+++ b/foldhoist/commands/explain.py
@@ -15,7 +15,7 @@
 
 REASONS = {
     "least-cost": "it had the lowest expected time",
-    "only-one-open": "no other upstream accepted new calls",
+    "only-one-open": "no other upstream was available for the call",
     "only-ejected-left": "only upstreams ejected for errors or slowness were left",
     "trial": "it was ejected, and one call tests whether it has recovered",
     "home-of-the-key": "every call with this idempotency key goes there",
--- a/foldhoist/daemon/graceful_shutdown.py
+++ b/foldhoist/daemon/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: closes the connections of callers, ends calls to the upstream, then stops."""
+"""Graceful shutdown: closes callers' connections, waits for calls to the upstream, then stops."""
 
 from __future__ import annotations
 
--- a/foldhoist/daemon/operators.py
+++ b/foldhoist/daemon/operators.py
@@ -1,4 +1,4 @@
-"""HTTP server for operators: status, metrics, configuration, records by order or trace, drain."""
+"""HTTP server for operators: status, metrics, configuration, records of calls, drain."""
 
 from __future__ import annotations
 
--- a/foldhoist/daemon/quota_task.py
+++ b/foldhoist/daemon/quota_task.py
@@ -122,6 +122,6 @@
         """Set the hosts at this host's ingress, and report the quota server candidates."""
         self._ingress_task.ingress.gate.credits.set_hosts(hosts)
         servers = frozenset(quota_server_candidates(hosts))
-        serves = "serves" if self.name in servers else "does not serve"
-        logger.info("quota servers: {} hosts; this one {} quotas", len(servers), serves)
+        keeps = "keeps" if self.name in servers else "does not keep"
+        logger.info("quota servers: {} hosts; this one {} quotas", len(servers), keeps)
         self._on_servers(servers)
