--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -56,13 +56,12 @@
 
 def summary(seed: int, history: History, violations: list[Violation]) -> str:
     """Return one line on the run of a seed: violations, requests by status, faults by kind."""
-    statuses = Counter(each.status for each in history.results)
+    statuses = Counter(each.status for each in history.asked)
     kinds = Counter(each.kind for each in history.faults)
     answered = ", ".join(f"{status}: {count}" for status, count in sorted(statuses.items()))
     faults = ", ".join(f"{kind} {count}" for kind, count in sorted(kinds.items()))
     return (
-        f"seed {seed}: {len(violations)} broken; {len(history.results)} asked ({answered}); "
-        f"{faults}"
+        f"seed {seed}: {len(violations)} broken; {len(history.asked)} asked ({answered}); {faults}"
     )
 
 
--- a/soak/checker.py
+++ b/soak/checker.py
@@ -31,7 +31,7 @@
     """Return all violations; without `check_stop_time` planned stops may take any time."""
     ran = Counter(each.attempt for each in history.executions)
     found: list[Violation] = []
-    for result in history.results:
+    for result in history.asked:
         found += _answer_violations(result, ran[result.attempt])
         if not result.repeatable and ran[result.attempt] > 1:
             evidence = f"{result.attempt} ran {ran[result.attempt]} times"
--- a/soak/history.py
+++ b/soak/history.py
@@ -45,7 +45,7 @@
 class History(NamedTuple):
     """The history of one seed; `unserved` are daemons that answered no request in time."""
 
-    results: tuple[RequestResult, ...]
+    asked: tuple[RequestResult, ...]
     executions: tuple[Execution, ...]
     faults: tuple[Fault, ...]
     stops: tuple[PlannedStop, ...]
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -47,7 +47,7 @@
         with selectors.DefaultSelector() as selector:
             selector.register(self.popen.stdout, selectors.EVENT_READ)
             if not selector.select(START_TIMEOUT_S):
-                raise RuntimeError(f"process printed no ready line in {START_TIMEOUT_S:.0f} s")
+                raise RuntimeError("process printed no ready line in time")
         line = self.popen.stdout.readline()
         if not line:
             raise RuntimeError(
--- a/tests/soak/test_run.py
+++ b/tests/soak/test_run.py
@@ -38,4 +38,4 @@
     assert not any(fault.kind in UNPLANNED for fault in faults)
     history = asyncio.run(run_seed(seed, len(DAEMONS), SECONDS, tmp_path))
     assert find_violations(history, check_stop_time=False) == []
-    assert any(each.status == 200 for each in history.results)
+    assert any(each.status == 200 for each in history.asked)
