--- a/foldhoist/observe/logs.py
+++ b/foldhoist/observe/logs.py
@@ -74,7 +74,7 @@
 def log_reload(found: ReloadResult) -> None:
     """Log which changed settings were applied, and which need a restart."""
     logger.info("settings read again, changed: {}", ", ".join(found.applied) or "nothing")
-    for name in found.restart_required:
+    for name in found.left:
         logger.warning("{} has changed; restart the daemon to apply it", name)
 
 
