--- a/tests/integration/__init__.py
+++ b/tests/integration/__init__.py
@@ -1,1 +1,1 @@
-"""Tests with real processes behind a fault-injecting proxy."""
+"""Tests with real processes and fault-injecting proxies."""
--- a/tests/integration/harness.py
+++ b/tests/integration/harness.py
@@ -1,4 +1,4 @@
-"""What the failure tests share: a small fleet with proxies, load with unique ids, and checks."""
+"""Shared by the failure tests: a small fleet with proxies, load with unique ids, and checks."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 methods = GET
 repeatable = yes
 """
-QUICK = """[measuring]
+FAST_SETTINGS = """[measuring]
 probes_per_s = 5
 
 [limits]
@@ -36,8 +36,8 @@
 NAMES = ("depo-1", "depo-2", "depo-3")
 
 
-class Ended(NamedTuple):
-    """One call of a load: its id, where it entered, what became of it."""
+class CallResult(NamedTuple):
+    """One call of a load: its id, its ingress and its outcome."""
 
     request_id: str
     ingress: str
@@ -45,12 +45,12 @@
 
 
 class MutantFleet(LocalFleet):
-    """A fleet whose daemons run with one mechanism taken out."""
+    """A fleet whose daemons run with one mechanism disabled."""
 
     mutant = ""
 
     def launch_daemon(self, name: str) -> Process:
-        """Start one daemon, changed if a mutant is named."""
+        """Start one daemon, patched if `mutant` is set."""
         if not self.mutant:
             return super().launch_daemon(name)
         path = self.folder / f"{name}.ini"
@@ -62,7 +62,10 @@
 
 
 def make_fleet(
-    mutant: str = "", services: str = SERVICES, settings: str = QUICK, service_ms: float = 5.0
+    mutant: str = "",
+    services: str = SERVICES,
+    settings: str = FAST_SETTINGS,
+    service_ms: float = 5.0,
 ) -> MutantFleet:
     """Return a started fleet of one service with three targets in three data centres."""
     targets = [
@@ -75,7 +78,7 @@
 
 
 def with_proxies(fleet: LocalFleet) -> dict[str, FaultProxy]:
-    """Start the fleet with a proxy in front of the frames of each daemon."""
+    """Start the fleet with a proxy in front of the frames address of each daemon."""
     fleet.start_upstreams()
     fleet.start_daemons()
     proxies: dict[str, FaultProxy] = {}
@@ -96,20 +99,20 @@
     during: Callable[[], Awaitable[None]] | None = None,
     ingresses: tuple[str, ...] = NAMES,
     prefix: str = "r",
-) -> list[Ended]:
-    """Send calls with unique ids and bodies through the ingresses in turn; tell their ends.
+) -> list[CallResult]:
+    """Send calls with unique ids and bodies through the ingresses in turn; return their results.
 
-    At least `calls` are sent, and as many more as come until `during` has ended.
+    At least `calls` are sent, and more until `during` has ended; `at_once` run concurrently.
     """
     caller = Caller()
-    ended: list[Ended] = []
+    results: list[CallResult] = []
     numbers = itertools.count()
-    broken = asyncio.Event()
+    during_ended = asyncio.Event()
     rng = random.Random(1)
 
     async def worker() -> None:
         for number in numbers:
-            if number >= calls and broken.is_set():
+            if number >= calls and during_ended.is_set():
                 return
             request_id = f"{prefix}{number}"
             ingress = ingresses[number % len(ingresses)]
@@ -117,51 +120,51 @@
             headers = {"X-Request-Id": request_id}
             address = fleet.addresses[ingress]["callers"]
             outcome = await caller.call(address, method, path, body, headers, 20.0)
-            ended.append(Ended(request_id, ingress, check_body(outcome, body)))
+            results.append(CallResult(request_id, ingress, check_body(outcome, body)))
 
     tasks = [asyncio.create_task(worker()) for _ in range(at_once)]
     if during is not None:
         await during()
-    broken.set()
+    during_ended.set()
     await asyncio.gather(*tasks)
     caller.close()
-    return ended
+    return results
 
 
 def check_body(outcome: Outcome, sent: bytes) -> Outcome:
-    """Fail if an answer is not the whole answer to its own request: upstreams echo the body."""
+    """Fail unless a successful answer echoes the whole body of its own request."""
     if outcome.status == 200 and sent:
         assert outcome.body == sent, f"answer {outcome.body!r} to {sent!r}"
     return outcome
 
 
 def executions(fleet: LocalFleet) -> dict[str, int]:
-    """Return how often each request id was run, over all upstreams, once all has come to rest."""
+    """Return how often each request id ran, over all upstreams, once no owner is busy."""
     for name in fleet.targets:
         wait_until(lambda name=name: fleet.status(name)["gauges"]["owner_busy"] == 0)
     return fleet.runs()
 
 
-def verdicts(ended: list[Ended]) -> dict[str, int]:
-    """Return how often each verdict was given."""
+def verdicts(results: list[CallResult]) -> dict[str, int]:
+    """Return the number of calls by verdict."""
     counts: dict[str, int] = {}
-    for end in ended:
-        counts[end.outcome.verdict] = counts.get(end.outcome.verdict, 0) + 1
+    for result in results:
+        counts[result.outcome.verdict] = counts.get(result.outcome.verdict, 0) + 1
     return counts
 
 
-def untrue_not_run(ended: list[Ended], ran: dict[str, int]) -> list[str]:
-    """Return the ids that were told not-run and yet ran."""
-    told = [end.request_id for end in ended if end.outcome.verdict == "not-run"]
-    return [request_id for request_id in told if ran.get(request_id, 0)]
+def not_run_but_executed(results: list[CallResult], ran: dict[str, int]) -> list[str]:
+    """Return the ids whose verdict is not-run although they ran."""
+    not_run = [result.request_id for result in results if result.outcome.verdict == "not-run"]
+    return [request_id for request_id in not_run if ran.get(request_id, 0)]
 
 
-def run_twice(ended: list[Ended], ran: dict[str, int]) -> list[str]:
+def executed_twice(results: list[CallResult], ran: dict[str, int]) -> list[str]:
     """Return the ids that ran more than once."""
-    return [end.request_id for end in ended if ran.get(end.request_id, 0) > 1]
+    return [result.request_id for result in results if ran.get(result.request_id, 0) > 1]
 
 
-def answered_without_run(ended: list[Ended], ran: dict[str, int]) -> list[str]:
-    """Return the ids that were answered and yet did not run."""
-    told = [end.request_id for end in ended if end.outcome.status == 200]
-    return [request_id for request_id in told if not ran.get(request_id, 0)]
+def answered_but_not_executed(results: list[CallResult], ran: dict[str, int]) -> list[str]:
+    """Return the ids that were answered with 200 although they did not run."""
+    answered = [result.request_id for result in results if result.outcome.status == 200]
+    return [request_id for request_id in answered if not ran.get(request_id, 0)]
--- a/tests/integration/mutants.py
+++ b/tests/integration/mutants.py
@@ -1,4 +1,4 @@
-"""Runs the command line with one mechanism taken out, to show that its test fails without it."""
+"""Runs the command line with one mechanism disabled, to show that its test detects the loss."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from foldhoist.delivery import ingress, keys, upstream_status
 
 
-def fate_says_no() -> None:
-    """An owner that does not know a call says that it did not run, though it was restarted."""
+def no_fate_request() -> None:
+    """A lost connection ends a call as not run, without asking the owner for its outcome."""
 
     def lost(self: ingress.Ingress, now: float, target: str) -> list[Any]:
         actions: list[Any] = []
@@ -38,12 +38,12 @@
 
 
 def no_key_table() -> None:
-    """A home runs every key that it is asked to run."""
+    """The home of a key runs every call with it."""
     keys.KeyTable.claim = lambda self, *args: keys.Run()  # type: ignore[method-assign]
 
 
 def no_key_history() -> None:
-    """A home believes that it knows every key, also right after its start."""
+    """A home assumes that it knows every key, also right after its start."""
     original = keys.KeyTable.adopt
 
     def adopt(self: keys.KeyTable, *args: Any, **kwargs: Any) -> frozenset[str]:
@@ -57,25 +57,25 @@
 
 
 def no_leaving() -> None:
-    """An owner takes new work whatever it is told."""
+    """An owner ignores every source that reports its upstream as leaving."""
     upstream_status.UpstreamStatus.set_leaving = lambda self, source: False  # type: ignore[method-assign]
 
 
 def no_probe_budget() -> None:
     """The prober's bucket always has a token."""
 
-    class Endless(TokenBucket):
+    class Unlimited(TokenBucket):
         def take(self, now: float, amount: float = 1.0) -> bool:
             return True
 
         def wait(self, now: float, amount: float = 1.0) -> float:
             return 0.01
 
-    prober.TokenBucket = Endless  # type: ignore[misc]
+    prober.TokenBucket = Unlimited  # type: ignore[misc]
 
 
-def cut_is_whole() -> None:
-    """An answer that was cut off counts as whole."""
+def cut_is_complete() -> None:
+    """An answer that was cut off counts as complete."""
 
     def lost(self: UpstreamConnection, exc: Exception | None) -> None:
         self._transport = None
@@ -88,13 +88,13 @@
 
 
 MUTANTS = {
-    "fate-says-no": fate_says_no,
+    "no-fate-request": no_fate_request,
     "retry-all": retry_all,
     "no-key-table": no_key_table,
     "no-key-history": no_key_history,
     "no-leaving": no_leaving,
     "no-probe-budget": no_probe_budget,
-    "cut-is-whole": cut_is_whole,
+    "cut-is-complete": cut_is_complete,
 }
 
 if __name__ == "__main__":
--- a/tests/integration/test_configuration.py
+++ b/tests/integration/test_configuration.py
@@ -1,7 +1,4 @@
-"""Promise 7: an accepted configuration is in force everywhere, and never goes back.
-
-The time it takes is measured by bench/capacity, not asserted here.
-"""
+"""Promise 7: an accepted configuration comes into force everywhere and never goes back."""
 
 from __future__ import annotations
 
@@ -15,8 +12,8 @@
 from foldhoist.logservice.client import pack_snapshot
 from standins.processes import LocalFleet, Target, request_json, wait_until
 from tests.integration.harness import (
+    FAST_SETTINGS,
     NAMES,
-    QUICK,
     SERVICES,
     MutantFleet,
     load,
@@ -47,21 +44,21 @@
             wait_until(lambda want=number + 1: generations(fleet) == [want] * 3)
 
 
-def test_of_racing_operators_one_wins_and_the_others_are_told() -> None:
+def test_concurrent_applies_get_distinct_generations_or_are_rejected() -> None:
     with started() as fleet:
-        racing = []
+        processes = []
         for number in range(6):
             path = fleet.folder / f"race-{number}.ini"
             path.write_text(change(fleet, 100 + number))
             args = ["apply", str(path), "--log", fleet.platform_address, "--json"]
-            racing.append(
+            processes.append(
                 subprocess.Popen(
                     [sys.executable, "-m", "foldhoist", *args], stdout=subprocess.PIPE, text=True
                 )
             )
-        told = [json.loads(process.communicate(timeout=60)[0]) for process in racing]
-        accepted = [each for each in told if each["result"] == "accepted"]
-        assert all(each["result"] in ("accepted", "rejected") for each in told)
+        results = [json.loads(process.communicate(timeout=60)[0]) for process in processes]
+        accepted = [each for each in results if each["result"] == "accepted"]
+        assert all(each["result"] in ("accepted", "rejected") for each in results)
         assert len(accepted) >= 1
         assert len({each["generation"] for each in accepted}) == len(accepted)
         last = max(each["generation"] for each in accepted)
@@ -72,7 +69,7 @@
         assert len(contents) == 1
 
 
-def test_a_lost_append_answer_is_resolved_not_guessed() -> None:
+def test_apply_reads_its_result_when_the_answer_to_its_append_is_lost() -> None:
     with started() as fleet:
         fleet.control_platform(lose_answers=1)
         done = fleet.apply(change(fleet, 7))
@@ -80,7 +77,7 @@
         wait_until(lambda: generations(fleet) == [2] * 3)
 
 
-def test_apply_without_the_platform_changes_nothing_and_says_so() -> None:
+def test_apply_fails_without_sending_while_the_platform_is_down() -> None:
     with started() as fleet:
         fleet.control_platform(down=True)
         done = fleet.apply(change(fleet, 8))
@@ -98,7 +95,7 @@
         wait_until(lambda: generations(fleet) == [1] * 3)
 
 
-def test_a_frozen_daemon_catches_up_and_nobody_goes_back() -> None:
+def test_a_frozen_daemon_catches_up_and_no_generation_decreases() -> None:
     with started() as fleet:
         fleet.daemons["depo-2"].signal(signal.SIGSTOP)
         assert fleet.apply(change(fleet, 9)).returncode == 0
@@ -115,7 +112,7 @@
         wait_until(reached)
 
 
-def test_a_stale_record_as_the_only_one_kept_moves_nobody_back() -> None:
+def test_a_stale_snapshot_as_the_only_record_reverts_no_daemon() -> None:
     settings = "[measuring]\nprobes_per_s = 5\n"
     with started(settings=settings) as fleet:
         url = f"http://{fleet.platform_address}/streams/configuration"
@@ -131,21 +128,21 @@
         fleet.daemons["depo-3"].kill()
         fleet.restart_daemon("depo-3")
         wait_until(lambda: generations(fleet) == [2] * 3)
-        wait_until(lambda: _newest_kept(url) == 2)
+        wait_until(lambda: _newest_snapshot(url) == 2)
 
 
-def _newest_kept(url: str) -> int:
+def _newest_snapshot(url: str) -> int:
     import base64
 
     records = request_json(f"{url}?from=0")["records"]
-    kept = [base64.b64decode(record["data"]) for record in records]
-    found = [json.loads(data[5:])["generation"] for data in kept if data.startswith(b"keep ")]
+    payloads = [base64.b64decode(record["data"]) for record in records]
+    found = [json.loads(data[5:])["generation"] for data in payloads if data.startswith(b"keep ")]
     return max(found, default=0)
 
 
-def test_a_change_arrives_though_every_reader_of_the_data_centre_is_dead() -> None:
+def test_a_change_arrives_after_every_reader_of_the_data_centre_was_killed() -> None:
     targets = [Target(f"depo-{i}", "depo", "ist-1") for i in range(7)]
-    with LocalFleet("istanbul", targets, SERVICES, QUICK) as fleet:
+    with LocalFleet("istanbul", targets, SERVICES, FAST_SETTINGS) as fleet:
         fleet.start()
         readers = [name for name in fleet.targets if fleet.status(name)["reader"]]
         for name in readers:
@@ -161,10 +158,10 @@
     return int(fleet.status(name)["configuration"]["generation"])
 
 
-def test_a_slow_platform_delays_a_change_but_no_call() -> None:
+def test_a_slow_platform_delays_a_change_but_fails_no_call() -> None:
     with started() as fleet:
         fleet.control_platform(delay_s=1.0)
         assert fleet.apply(change(fleet, 13)).returncode == 0
-        ended = asyncio.run(load(fleet, 200, 10))
-        assert verdicts(ended) == {"answered": 200}
+        results = asyncio.run(load(fleet, 200, 10))
+        assert verdicts(results) == {"answered": 200}
         wait_until(lambda: generations(fleet) == [2] * 3)
--- a/tests/integration/test_customers.py
+++ b/tests/integration/test_customers.py
@@ -1,4 +1,4 @@
-"""Customers on the product's own log: keys, names told to upstreams, quotas over all daemons."""
+"""Customers: API keys and quotas over all daemons."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 rate_per_s = 2
 burst = 2
 """
-WAIT_S = 60.0
-"""Longest wait for anything, seconds."""
+TIMEOUT_S = 60.0
+"""Longest time until the quota has both admitted and refused a call, in seconds."""
 
 
 @pytest.fixture(scope="module")
@@ -72,10 +72,10 @@
     assert call(fleet, daemon, "/depo/open/x").status == 200
 
 
-def test_a_quota_refuses_with_a_time_to_come_back_and_lets_calls_in_again(
+def test_a_quota_refuses_with_retry_after_and_admits_calls_again(
     fleet: LocalFleet,
 ) -> None:
-    until = time.monotonic() + WAIT_S
+    until = time.monotonic() + TIMEOUT_S
     seen: set[int] = set()
     while seen != {200, 429}:
         assert time.monotonic() < until
--- a/tests/integration/test_measuring_budget.py
+++ b/tests/integration/test_measuring_budget.py
@@ -1,4 +1,4 @@
-"""Promise 1: the work of measuring stays in its budget, counted where it arrives."""
+"""Promise 1: health probes and control traffic stay within their budgets, counted on arrival."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 """
 
 
-class Spent(NamedTuple):
-    """What measuring cost: probes that each upstream got, control bytes on the wire, seconds."""
+class Usage(NamedTuple):
+    """Probes received by each upstream, control bytes on the wire, and the time in seconds."""
 
     probes: dict[str, int]
     control_bytes: int
     seconds: float
 
 
-def over_budget(spent: Spent) -> list[str]:
-    """Return what cost more than its budget; depo-3 had two lives, each with a full bucket."""
+def over_budget(usage: Usage) -> list[str]:
+    """Return what exceeded its budget; depo-3 ran as two processes, each with a full bucket."""
     over = []
     for name in NAMES:
-        lives = 2 if name == "depo-3" else 1
-        if spent.probes[name] > spent.seconds * PROBES_PER_S + 2 * lives:
-            over.append(f"{name}: {spent.probes[name]} probes in {spent.seconds:.1f} s")
-    if spent.control_bytes > 3 * (CONTROL_BYTES_PER_S * spent.seconds + CONTROL_BURST):
-        over.append(f"{spent.control_bytes} control bytes in {spent.seconds:.1f} s")
+        processes = 2 if name == "depo-3" else 1
+        if usage.probes[name] > usage.seconds * PROBES_PER_S + 2 * processes:
+            over.append(f"{name}: {usage.probes[name]} probes in {usage.seconds:.1f} s")
+    if usage.control_bytes > 3 * (CONTROL_BYTES_PER_S * usage.seconds + CONTROL_BURST):
+        over.append(f"{usage.control_bytes} control bytes in {usage.seconds:.1f} s")
     return over
 
 
-def measure(mutant: str = "") -> Spent:
-    """Run a peak of calls with flapping upstreams and a restart; count where things arrive."""
+def measure(mutant: str = "") -> Usage:
+    """Run a peak load with flapping upstreams and a restart; count probes and bytes on arrival."""
     with make_fleet(mutant, settings=SETTINGS, service_ms=1.0) as fleet:
         fleet.start_upstreams()
         fleet.start_daemons()
@@ -62,21 +62,21 @@
             await asyncio.to_thread(fleet.daemons["depo-3"].kill)
             await asyncio.to_thread(fleet.restart_daemon, "depo-3")
 
-        ended = asyncio.run(load(fleet, 3000, 40, during=flap, ingresses=("depo-1", "depo-2")))
+        results = asyncio.run(load(fleet, 3000, 40, during=flap, ingresses=("depo-1", "depo-2")))
         seconds = time.monotonic() - began
         probes = {name: fleet.executions(name)["health_probes"] - before[name] for name in NAMES}
         sent = sum(proxy.bytes_forth for proxy in control.values()) - bytes_before
         for proxy in control.values():
             proxy.close()
-    assert len(ended) >= 3000
-    return Spent(probes, sent, seconds)
+    assert len(results) >= 3000
+    return Usage(probes, sent, seconds)
 
 
-def test_probes_and_control_bytes_stay_in_budget_at_peak_with_flapping() -> None:
-    spent = measure()
-    assert over_budget(spent) == []
-    assert min(spent.probes.values()) > 0
+def test_probes_and_control_bytes_stay_within_budget_at_peak_with_flapping() -> None:
+    usage = measure()
+    assert over_budget(usage) == []
+    assert min(usage.probes.values()) > 0
 
 
-def test_probing_without_a_budget_is_found() -> None:
+def test_without_the_probe_budget_the_check_fails() -> None:
     assert over_budget(measure("no-probe-budget"))
--- a/tests/integration/test_not_run_is_true.py
+++ b/tests/integration/test_not_run_is_true.py
@@ -1,4 +1,4 @@
-"""Promise 3 and, without keys, promise 4: told not run means not run; nothing runs twice."""
+"""Promise 3 and, without keys, promise 4: a not-run call did not run, and no call runs twice."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 CALLS = 1500
 AT_ONCE = 60
 SERVICE_MS = 20.0
-"""Long enough that all slots are taken, and every failure meets calls that run."""
-LONGER_THAN_DEADLINES_S = 4.0
-"""Longer than the service's deadline, the wait for a fate, and every timeout of a connection."""
-WITHOUT_FIRST = ("kill owner", "freeze owner", "freeze owner long")
+"""Long enough that all slots are in use and calls run during every failure."""
+LONG_FREEZE_S = 4.0
+"""Longer than the service's deadline, the fate timeout and every connection timeout."""
+OWNER_ONLY_FAULTS = ("kill owner", "freeze owner", "freeze owner long")
 """Failures of depo-1 as an owner only: no caller uses it as its ingress."""
 
 
-def find_faults(ended: list[harness.Ended], ran: dict[str, int]) -> dict[str, list[str]]:
+def find_violations(results: list[harness.CallResult], ran: dict[str, int]) -> dict[str, list[str]]:
     return {
-        "told not run, but ran": harness.untrue_not_run(ended, ran),
-        "ran twice": harness.run_twice(ended, ran),
-        "answered, but did not run": harness.answered_without_run(ended, ran),
+        "not run, but executed": harness.not_run_but_executed(results, ran),
+        "executed twice": harness.executed_twice(results, ran),
+        "answered, but not executed": harness.answered_but_not_executed(results, ran),
     }
 
 
-def faults_under(fault: str, mutant: str = "") -> tuple[dict[str, list[str]], dict[str, int]]:
-    """Run a load with one kind of failure in its middle; return the faults and the verdicts."""
+def violations_under(fault: str, mutant: str = "") -> tuple[dict[str, list[str]], dict[str, int]]:
+    """Run a load with one kind of failure; return violations by kind and the verdicts."""
     with make_fleet(mutant, service_ms=SERVICE_MS) as fleet:
         proxies = with_proxies(fleet)
 
-        async def break_things() -> None:
+        async def inject_faults() -> None:
             await asyncio.sleep(0.3)
             proxy = proxies["depo-1"]
             for _ in range(1 if fault.endswith("long") else 3):
@@ -57,11 +57,11 @@
                         fleet.daemons["depo-1"].signal(signal.SIGCONT)
                     case "freeze owner long":
                         fleet.daemons["depo-1"].signal(signal.SIGSTOP)
-                        await asyncio.sleep(LONGER_THAN_DEADLINES_S)
+                        await asyncio.sleep(LONG_FREEZE_S)
                         fleet.daemons["depo-1"].signal(signal.SIGCONT)
                     case "freeze ingress long":
                         fleet.daemons["depo-2"].signal(signal.SIGSTOP)
-                        await asyncio.sleep(LONGER_THAN_DEADLINES_S)
+                        await asyncio.sleep(LONG_FREEZE_S)
                         fleet.daemons["depo-2"].signal(signal.SIGCONT)
                     case "kill owner":
                         await asyncio.to_thread(fleet.daemons["depo-1"].kill)
@@ -72,12 +72,14 @@
                         await asyncio.to_thread(fleet.launch_upstream("depo-1").ready)
                 await asyncio.sleep(0.1)
 
-        ingresses = ("depo-2", "depo-3") if fault in WITHOUT_FIRST else NAMES
-        ended = asyncio.run(load(fleet, CALLS, AT_ONCE, during=break_things, ingresses=ingresses))
+        ingresses = ("depo-2", "depo-3") if fault in OWNER_ONLY_FAULTS else NAMES
+        results = asyncio.run(
+            load(fleet, CALLS, AT_ONCE, during=inject_faults, ingresses=ingresses)
+        )
         ran = harness.executions(fleet)
         for proxy in proxies.values():
             proxy.close()
-    return find_faults(ended, ran), harness.verdicts(ended)
+    return find_violations(results, ran), harness.verdicts(results)
 
 
 FAULTS = [
@@ -94,16 +96,16 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_verdicts_are_true_under(fault: str) -> None:
-    faults, verdicts = faults_under(fault)
-    assert not any(faults.values()), faults
+    violations, verdicts = violations_under(fault)
+    assert not any(violations.values()), violations
     assert verdicts["answered"] > CALLS / 2, verdicts
 
 
-def test_cut_without_asking_for_the_fate_is_found() -> None:
-    faults, _ = faults_under("cut", "fate-says-no")
-    assert faults["told not run, but ran"]
+def test_without_the_fate_request_a_cut_reports_executed_calls_as_not_run() -> None:
+    violations, _ = violations_under("cut", "no-fate-request")
+    assert violations["not run, but executed"]
 
 
-def test_retrying_what_may_not_be_repeated_is_found() -> None:
-    faults, _ = faults_under("cut", "retry-all")
-    assert faults["ran twice"]
+def test_retrying_unrepeatable_calls_executes_them_twice() -> None:
+    violations, _ = violations_under("cut", "retry-all")
+    assert violations["executed twice"]
--- a/tests/integration/test_planned_stop.py
+++ b/tests/integration/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""Promise 6: a planned stop cuts no request in flight, in either role."""
+"""Promise 6: a graceful shutdown cuts no request in flight, at ingress or owner."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 from standins.caller import Caller, Outcome
 from tests.integration import harness
-from tests.integration.harness import NAMES, Ended, MutantFleet, load, make_fleet
+from tests.integration.harness import NAMES, CallResult, MutantFleet, load, make_fleet
 
 SERVICES = harness.SERVICES.replace("deadline_ms = 3000", "deadline_ms = 20000")
-"""No call ends by its deadline here: what a planned stop cuts is to be told from what is late."""
+"""The deadline is long, so that a call that fails was cut and did not time out."""
 BUSY = 3
-"""Calls at one upstream from which on it counts as busy."""
-MOST_CALLS = 60
-"""Long calls after which the upstream must have been busy."""
-END_S = 120
-"""Longest wait for the end of a process, seconds: it ends what hangs, and says nothing of speed."""
-SEND_S = 0.1
-"""Time between two calls that are sent until it is, seconds."""
+"""Concurrent calls at one upstream from which on it counts as busy."""
+MAX_CALLS = 60
+"""Long calls that are sent at most until the upstream is busy."""
+EXIT_TIMEOUT_S = 120
+"""Longest wait for the exit of a process, in seconds; only guards against a hang."""
+SEND_INTERVAL_S = 0.1
+"""Interval between calls sent until the upstream is busy, in seconds."""
 
 
 class LongCalls:
-    """Calls of a second each that run beside the test; more can be sent while they do."""
+    """Calls of one second each that run in background tasks."""
 
     def __init__(self, fleet: MutantFleet) -> None:
         self._fleet = fleet
@@ -32,26 +32,26 @@
         self._tasks: list[asyncio.Task[Outcome]] = []
 
     def send(self, ingress: str, count: int) -> None:
-        """Send some through one daemon."""
+        """Start `count` calls through one daemon."""
         for _ in range(count):
             self._tasks.append(asyncio.create_task(self._send(ingress, len(self._tasks))))
 
     async def until_busy(self, target: str) -> None:
-        """Send until the upstream has been at work on some at once.
+        """Send calls until the upstream has run `BUSY` of them at once.
 
-        Where a call runs is the daemons' choice, so a fixed number of calls may miss an upstream.
-        What is waited for does not go away again, so that it cannot be missed.
+        The daemons choose the upstream of a call, so a fixed number of calls may miss it. The
+        maximum waited for never decreases, so that polling cannot miss it.
         """
         while True:
-            told = await asyncio.to_thread(self._fleet.executions, target)
-            if told["most_running"] >= BUSY:
+            counts = await asyncio.to_thread(self._fleet.executions, target)
+            if counts["most_running"] >= BUSY:
                 return
-            assert len(self._tasks) < MOST_CALLS, told
+            assert len(self._tasks) < MAX_CALLS, counts
             self.send(target, 1)
-            await asyncio.sleep(SEND_S)
+            await asyncio.sleep(SEND_INTERVAL_S)
 
     async def ended(self) -> list[Outcome]:
-        """Wait for all of them."""
+        """Wait for all calls and return their outcomes."""
         return list(await asyncio.gather(*self._tasks))
 
     async def _send(self, ingress: str, number: int) -> Outcome:
@@ -61,12 +61,12 @@
 
 
 def failed(outcomes: list[Outcome]) -> list[Outcome]:
-    """Return the calls that were not answered with success."""
+    """Return the outcomes other than status 200."""
     return [outcome for outcome in outcomes if outcome.status != 200]
 
 
 @pytest.mark.parametrize("how", ["SIGTERM", "drain"])
-def test_long_calls_end_whole_in_both_roles(how: str) -> None:
+def test_a_graceful_shutdown_completes_long_calls_in_both_roles(how: str) -> None:
     with make_fleet(services=SERVICES) as fleet:
         fleet.start()
 
@@ -77,19 +77,19 @@
             await calls.until_busy("depo-1")
             if how == "drain":
                 operators = fleet.addresses["depo-1"]["operators"]
-                told = await asyncio.to_thread(fleet.command, "drain", operators)
-                assert told.returncode == 0, told.stderr
+                done = await asyncio.to_thread(fleet.command, "drain", operators)
+                assert done.returncode == 0, done.stderr
             else:
                 fleet.daemons["depo-1"].signal(signal.SIGTERM)
             return await calls.ended()
 
         outcomes = asyncio.run(scenario())
-        assert fleet.daemons["depo-1"].wait(END_S) == 0
+        assert fleet.daemons["depo-1"].wait(EXIT_TIMEOUT_S) == 0
     assert len(outcomes) >= 24
     assert failed(outcomes) == []
 
 
-def test_a_killed_daemon_does_cut_calls() -> None:
+def test_a_killed_daemon_cuts_calls() -> None:
     with make_fleet(services=SERVICES) as fleet:
         fleet.start()
 
@@ -108,7 +108,7 @@
     """Callers use the daemons that are not being restarted."""
     with make_fleet(services=SERVICES) as fleet:
         fleet.start()
-        results: list[Ended] = []
+        results: list[CallResult] = []
 
         async def one_daemon(name: str) -> None:
             others = tuple(each for each in NAMES if each != name)
@@ -127,13 +127,13 @@
             asyncio.run(one_daemon(name))
             fleet.wait_generation(1)
         ran = harness.executions(fleet)
-    assert [end for end in results if end.outcome.verdict != "answered"] == []
+    assert [result for result in results if result.outcome.verdict != "answered"] == []
     assert len(results) >= 4500
-    assert harness.run_twice(results, ran) == []
+    assert harness.executed_twice(results, ran) == []
 
 
-def test_a_draining_daemon_serves_its_upstreams_own_calls_until_those_are_done() -> None:
-    """While a long call runs at the upstream, a call of it to another service must get through."""
+def test_a_draining_daemon_serves_nested_calls_until_its_own_calls_end() -> None:
+    """A call that enters a draining daemon is served while long calls run at its upstream."""
     with make_fleet(services=SERVICES) as fleet:
         fleet.start()
 
@@ -149,7 +149,7 @@
             return await calls.ended(), nested
 
         outcomes, nested = asyncio.run(scenario())
-        assert fleet.daemons["depo-1"].wait(END_S) == 0
+        assert fleet.daemons["depo-1"].wait(EXIT_TIMEOUT_S) == 0
     assert (nested.status, nested.body) == (200, b"nested")
     assert len(outcomes) >= 30
     assert failed(outcomes) == []
--- a/tests/integration/test_process.py
+++ b/tests/integration/test_process.py
@@ -1,4 +1,4 @@
-"""A daemon is one process: it starts no other, and uses no io_uring or shared memory."""
+"""A daemon is a single process without io_uring or shared memory."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
         for process in fleet.daemons.values():
             pid = process.popen.pid
             assert psutil.Process(pid).children(recursive=True) == []
-            links = [_target(each) for each in Path(f"/proc/{pid}/fd").iterdir()]
+            links = [_link_target(each) for each in Path(f"/proc/{pid}/fd").iterdir()]
             assert not [link for link in links if "io_uring" in link]
             maps = Path(f"/proc/{pid}/maps").read_text()
             assert "/dev/shm" not in maps
             assert "SYSV" not in maps
 
 
-def _target(link: Path) -> str:
+def _link_target(link: Path) -> str:
     try:
         return str(link.readlink())
     except OSError:
--- a/tests/integration/test_whole_answers.py
+++ b/tests/integration/test_whole_answers.py
@@ -1,4 +1,4 @@
-"""Promise 2: a caller gets the whole answer to its own request and nothing of another's.
+"""Promise 2: a caller gets the complete answer to its own request, and no other.
 
 Bodies are unique and upstreams echo them; `harness.check_body` compares each one.
 """
@@ -15,12 +15,12 @@
 AT_ONCE = 150
 
 
-def test_thousands_at_once_while_answers_are_late_cut_and_lost() -> None:
+def test_concurrent_calls_get_their_own_answers_under_faults() -> None:
     with make_fleet(service_ms=2.0) as fleet:
         proxies = with_proxies(fleet)
         fleet.control_upstream("depo-2", cut_share=0.02)
 
-        async def break_things() -> None:
+        async def inject_faults() -> None:
             for turn in range(8):
                 proxy = proxies[f"depo-{turn % 3 + 1}"]
                 proxy.faults.delay_s = 0.02
@@ -34,17 +34,17 @@
                 await asyncio.sleep(0.1)
                 fleet.daemons["depo-3"].signal(signal.SIGCONT)
 
-        ended = asyncio.run(load(fleet, CALLS, AT_ONCE, during=break_things))
+        results = asyncio.run(load(fleet, CALLS, AT_ONCE, during=inject_faults))
         ran = harness.executions(fleet)
         for proxy in proxies.values():
             proxy.close()
-    verdicts = harness.verdicts(ended)
+    verdicts = harness.verdicts(results)
     assert verdicts["answered"] > CALLS / 2, verdicts
-    assert harness.untrue_not_run(ended, ran) == []
-    assert harness.run_twice(ended, ran) == []
+    assert harness.not_run_but_executed(results, ran) == []
+    assert harness.executed_twice(results, ran) == []
 
 
-def cut_answers(mutant: str) -> list[harness.Ended]:
+def cut_answers(mutant: str) -> list[harness.CallResult]:
     with make_fleet(mutant) as fleet:
         fleet.start()
         for name in harness.NAMES:
@@ -53,12 +53,16 @@
 
 
 def test_a_cut_answer_is_never_a_success() -> None:
-    ended = cut_answers("")
-    assert all(end.outcome.verdict == "may-have-run" for end in ended)
-    assert all(end.outcome.status == 502 for end in ended)
+    results = cut_answers("")
+    assert all(result.outcome.verdict == "may-have-run" for result in results)
+    assert all(result.outcome.status == 502 for result in results)
 
 
-def test_taking_a_cut_answer_as_whole_is_found() -> None:
-    ended = cut_answers("cut-is-whole")
-    short = [end for end in ended if end.outcome.status == 200 and len(end.outcome.body) < 1000]
+def test_without_the_completeness_check_a_cut_answer_is_a_success() -> None:
+    results = cut_answers("cut-is-complete")
+    short = [
+        result
+        for result in results
+        if result.outcome.status == 200 and len(result.outcome.body) < 1000
+    ]
     assert short
--- a/tests/integration/test_whole_path.py
+++ b/tests/integration/test_whole_path.py
@@ -1,4 +1,4 @@
-"""A request goes through separate processes: caller, ingress daemon, owner daemon, upstream."""
+"""A request passes through separate processes: caller, ingress, owner and upstream."""
 
 from __future__ import annotations
 
@@ -55,11 +55,11 @@
     assert answer.headers["Foldhoist-Verdict"] == "not-run"
 
 
-def test_explain_tells_the_way_of_a_call(fleet: LocalFleet) -> None:
+def test_explain_prints_the_path_of_a_call(fleet: LocalFleet) -> None:
     answer, _ = call(fleet, "kasa-1", "GET", "/depo/stock")
     trace = answer.headers["Foldhoist-Trace"]
-    told = fleet.command("explain", trace, "--daemon", fleet.addresses["depo-1"]["operators"])
-    assert told.returncode == 0
-    assert "kasa-1: GET /depo/stock arrived for service depo" in told.stdout
-    assert "waited 0.00 ms for a slot" in told.stdout
-    assert "final answer, answered, status 200" in told.stdout
+    done = fleet.command("explain", trace, "--daemon", fleet.addresses["depo-1"]["operators"])
+    assert done.returncode == 0
+    assert "kasa-1: GET /depo/stock arrived for service depo" in done.stdout
+    assert "waited 0.00 ms for a slot" in done.stdout
+    assert "final answer, answered, status 200" in done.stdout
