--- a/tests/model/checking.py
+++ b/tests/model/checking.py
@@ -1,4 +1,4 @@
-"""Runs a specification through the checker and prints what was explored."""
+"""Checks a specification in every reachable state and prints the results."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-MOST_STATES = 3_000_000
-"""States from which on a search counts as not finished, which is no pass."""
+MAX_STATES = 3_000_000
+"""Number of states after which a search counts as not finished, which fails the check."""
 MUTANT_STATES = 80_000
-"""States to which the search for a violation by a mutant is cut."""
+"""Number of states after which the search for a violation by a mutant stops."""
 
 
 def protocol(
@@ -21,7 +21,7 @@
     transitions: Callable[[tuple[Any, ...]], list[tuple[str, tuple[Any, ...]]]],
     invariants: dict[str, Callable[[dict[str, Any]], bool]],
 ) -> Protocol:
-    """Return a specification whose world is a named tuple, `start` at first."""
+    """Return a specification whose states are named tuples; `start` is the initial state."""
     return Protocol(
         name=name,
         candidate=False,
@@ -32,13 +32,13 @@
     )
 
 
-def explore(model: Protocol, most_states: int = MOST_STATES) -> dict[str, Any]:
-    """Return the result of a search, breadth first."""
-    result: dict[str, Any] = check_safety(model, max_states=most_states)
+def explore(model: Protocol, max_states: int = MAX_STATES) -> dict[str, Any]:
+    """Run a breadth-first search, print the verdict on each invariant and return the result."""
+    result: dict[str, Any] = check_safety(model, max_states=max_states)
     for name, found in result["properties"].items():
-        told = {True: "holds", False: "violated", None: "not finished"}[found["holds"]]
+        verdict = {True: "holds", False: "violated", None: "not finished"}[found["holds"]]
         steps = len(found.get("counterexample") or [])
-        print(f"{model.name}: {name} {told}, {result['reachable_states']} states, {steps} steps")
+        print(f"{model.name}: {name} {verdict}, {result['reachable_states']} states, {steps} steps")
     return result
 
 
@@ -48,12 +48,12 @@
     return all(each["holds"] is True for each in found)
 
 
-def violated(model: Protocol, most_states: int = MUTANT_STATES) -> list[str]:
-    """Return the labels of the shortest way to a violation, or nothing.
+def violated(model: Protocol, max_states: int = MUTANT_STATES) -> list[str]:
+    """Return the labels of the shortest path to a violation, or an empty list.
 
-    A violation that is found in a search cut short is a violation all the same.
+    The search stops after `max_states` states; a violation found before that counts.
     """
-    for found in explore(model, most_states)["properties"].values():
+    for found in explore(model, max_states)["properties"].values():
         if found["holds"] is False:
             return [str(step.get("label", step)) for step in found["counterexample"]]
     return []
--- a/tests/model/conftest.py
+++ b/tests/model/conftest.py
@@ -1,4 +1,4 @@
-"""Model checks end by the number of states, not by time: a busy machine takes them minutes."""
+"""Model checks are bounded by the number of states, so they get a longer timeout."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 import pytest
 
-LONGEST_S = 1800
-"""Time after which a check that hangs is ended, seconds."""
+TIMEOUT_S = 1800
+"""Timeout of a model check, in seconds."""
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Give the checks of this folder more time than other tests have."""
+    """Set the timeout of the tests in this folder."""
     folder = Path(__file__).parent
     for item in items:
         if folder in item.path.parents:
-            item.add_marker(pytest.mark.timeout(LONGEST_S))
+            item.add_marker(pytest.mark.timeout(TIMEOUT_S))
--- a/tests/model/evacuations_spec.py
+++ b/tests/model/evacuations_spec.py
@@ -1,8 +1,8 @@
-"""Evacuations on their way: an operator's log, a daemon that reads it, one that is told.
+"""Distribution of evacuations from an operator's log to a reading daemon and to its peer.
 
-What a daemon holds is the real core object, built anew for each step. What the reader tells is
-late, lost, doubled and out of order; its reads may be cut short, its history may be gone, it may
-start again and be told what it knew before.
+A daemon's state is an `Evacuations` object, built for each step. Messages of the reader may be
+late, lost, repeated or out of order. A read may return only part of the log, or the full state, and
+the reader may restart without its state and receive its own earlier messages.
 """
 
 from __future__ import annotations
@@ -15,31 +15,34 @@
 if TYPE_CHECKING:
     from minicheck import Protocol
 
-MOST_RECORDS = 3
-"""Records that the operator writes."""
-MOST_RESTARTS = 1
-"""Times that the reader starts again."""
-ORDERS = (Evacuation("a", True), Evacuation("a", False), Evacuation("b", True))
-"""What the operator may write."""
+MAX_RECORDS = 3
+"""Maximum number of records that the operator writes."""
+MAX_RESTARTS = 1
+"""Maximum number of restarts of the reader."""
+ENTRIES = (Evacuation("a", True), Evacuation("a", False), Evacuation("b", True))
+"""The records that the operator may write."""
 
 
 class Rules(NamedTuple):
     """The rules of the protocol; a mutant turns one off."""
 
-    newer_alone: bool = True
-    whole_replaces: bool = True
-    reads_all_first: bool = True
+    newer_only: bool = True
+    complete_replaces: bool = True
+    read_all_first: bool = True
 
 
 class State(NamedTuple):
-    """What a daemon holds."""
+    """Evacuated data centres that a daemon knows, up to an offset in the log."""
 
     at: int = 0
     data_centres: frozenset[str] = frozenset()
 
 
 class World(NamedTuple):
-    """All there is; `position` is where the reader reads on, -1 before its first read."""
+    """State of the log, both daemons and sent messages.
+
+    `position` is the offset at which the reader continues, -1 before its first read.
+    """
 
     log: tuple[Evacuation, ...] = ()
     reader: State = State()
@@ -53,21 +56,21 @@
 Step = tuple[str, World]
 
 
-def standing(log: tuple[Evacuation, ...]) -> frozenset[str]:
-    """Return what stands after these records."""
+def evacuated(log: tuple[Evacuation, ...]) -> frozenset[str]:
+    """Return the data centres that are evacuated after these records."""
     last = {record.data_centre: record.in_force for record in log}
     return frozenset(name for name, in_force in last.items() if in_force)
 
 
-def model(rules: Rules = Rules()) -> Protocol:  # noqa: B008
-    """Return the specification under these rules."""
+def specification(rules: Rules = Rules()) -> Protocol:  # noqa: B008
+    """Return the specification under the given rules."""
 
     def transitions(fields: tuple[object, ...]) -> list[tuple[str, tuple[object, ...]]]:
         world = World(*fields)  # type: ignore[arg-type]
         steps = [
             *_writes(world),
             *_reads(world, rules),
-            *_told(world, rules),
+            *_deliveries(world, rules),
             *_restarts(world, rules),
         ]
         return [(label, tuple(after)) for label, after in steps]
@@ -76,69 +79,69 @@
 
 
 def _writes(world: World) -> list[Step]:
-    if len(world.log) == MOST_RECORDS:
+    if len(world.log) == MAX_RECORDS:
         return []
-    return [(f"operator: {each}", world._replace(log=(*world.log, each))) for each in ORDERS]
+    return [(f"operator writes {each}", world._replace(log=(*world.log, each))) for each in ENTRIES]
 
 
 def _reads(world: World, rules: Rules) -> list[Step]:
     end = len(world.log)
-    left = tuple(Evacuation(name, True) for name in sorted(standing(world.log)))
-    whole = StoredEvacuations(end, rules.whole_replaces, left)
-    steps = [("reader: reads all", _read(world, whole, end, rules))]
+    current = tuple(Evacuation(name, True) for name in sorted(evacuated(world.log)))
+    complete = StoredEvacuations(end, rules.complete_replaces, current)
+    steps = [("reader reads the full state", _read(world, complete, end, rules))]
     if world.position < 0:
         return steps
     for until in range(world.position + 1, end + 1):
-        told = StoredEvacuations(until, False, world.log[world.position : until])
-        steps.append((f"reader: reads until {until}", _read(world, told, until, rules)))
+        stored = StoredEvacuations(until, False, world.log[world.position : until])
+        steps.append((f"reader reads up to {until}", _read(world, stored, until, rules)))
     return steps
 
 
-def _read(world: World, told: StoredEvacuations, position: int, rules: Rules) -> World:
-    held = _built(world.reader, rules, told.at)
-    held.apply_stored(told)
-    after = State(held.at, held.data_centres)
+def _read(world: World, stored: StoredEvacuations, position: int, rules: Rules) -> World:
+    evacuations = _evacuations_of(world.reader, rules, stored.at)
+    evacuations.apply_stored(stored)
+    after = State(evacuations.at, evacuations.data_centres)
     back = world.went_back or after.at < world.reader.at
     sent = world.sent | {after}
     return world._replace(reader=after, position=position, sent=sent, went_back=back)
 
 
-def _told(world: World, rules: Rules) -> list[Step]:
+def _deliveries(world: World, rules: Rules) -> list[Step]:
     steps: list[Step] = []
     for message in sorted(world.sent, key=repr):
         for who, before in (("other", world.other), ("reader", world.reader)):
-            held = _built(before, rules, message.at)
-            held.apply_peer({"at": message.at, "data_centres": sorted(message.data_centres)})
-            after = State(held.at, held.data_centres)
+            evacuations = _evacuations_of(before, rules, message.at)
+            evacuations.apply_peer({"at": message.at, "data_centres": sorted(message.data_centres)})
+            after = State(evacuations.at, evacuations.data_centres)
             back = world.went_back or after.at < before.at
-            label = f"{who}: hears {message}"
+            label = f"{who} receives {message}"
             steps.append((label, world._replace(**{who: after}, went_back=back)))
     return steps
 
 
 def _restarts(world: World, rules: Rules) -> list[Step]:
-    if world.restarts == MOST_RESTARTS:
+    if world.restarts == MAX_RESTARTS:
         return []
-    position = -1 if rules.reads_all_first else len(world.log)
+    position = -1 if rules.read_all_first else len(world.log)
     after = world._replace(reader=State(), position=position, restarts=world.restarts + 1)
-    return [("reader: starts again", after)]
+    return [("reader restarts", after)]
 
 
-def _built(state: State, rules: Rules, told_at: int) -> Evacuations:
-    held = Evacuations()
-    held.at, held.data_centres = state
-    if not rules.newer_alone and told_at:
-        held.at = told_at - 1
-    return held
+def _evacuations_of(state: State, rules: Rules, message_at: int) -> Evacuations:
+    evacuations = Evacuations()
+    evacuations.at, evacuations.data_centres = state
+    if not rules.newer_only and message_at:
+        evacuations.at = message_at - 1
+    return evacuations
 
 
 def _is_exact(world: dict[str, object]) -> bool:
     log: tuple[Evacuation, ...] = world["log"]  # type: ignore[assignment]
     states: list[State] = [State(*world["reader"]), State(*world["other"])]  # type: ignore[misc]
-    return all(state.data_centres == standing(log[: state.at]) for state in states)
+    return all(state.data_centres == evacuated(log[: state.at]) for state in states)
 
 
 INVARIANTS = {
-    "what stands follows from the records below the offset": _is_exact,
-    "no daemon goes back in one life": lambda world: not world["went_back"],
+    "evacuations match the records below the offset": _is_exact,
+    "no incarnation of a daemon goes back": lambda world: not world["went_back"],
 }
--- a/tests/model/leaving_spec.py
+++ b/tests/model/leaving_spec.py
@@ -1,11 +1,10 @@
-"""An upstream leaves, and its daemon, the store and a peer may fail at any step.
+"""An upstream leaves while its daemon, the store and a peer may fail at any step.
 
-The daemon's knowledge of its upstream, what it has heard of earlier lives and the peer's list of
-daemons are the real core objects, built anew for each step. Announcements arrive in any order, late
-ones too. What an acknowledgement promises: no call goes to that life of the upstream any more,
-whatever dies next.
+`OwnUpstream`, `StartupBarrier` and the peer's `Registry` are the product's own classes, built for
+each step. Announcements arrive in any order. An acknowledged leaving promises that no further call
+goes to that incarnation of the upstream, whatever fails next.
 
-Assumed: the store or the peer that noted the leaving is reached by a restarted daemon before it
+Assumption: a restarted daemon reaches the store or the peer that recorded the leaving before it
 stops waiting for them.
 """
 
@@ -27,96 +26,97 @@
     from minicheck import Protocol
 
 NAME = "i-1"
-"""The name of both lives of the upstream."""
-MOST_BEATS = 3
-"""Announcements of the upstream in a run."""
+"""Name of both incarnations of the upstream."""
+MAX_ANNOUNCEMENTS = 3
+"""Maximum number of announcements of the upstream in a run."""
 
 
 class Bounds(NamedTuple):
-    """How much may happen in a run."""
+    """Maximum number of incarnations, lost connections and store outages in a run."""
 
-    upstream_lives: int = 1
-    daemon_lives: int = 3
+    upstream_incarnations: int = 1
+    daemon_incarnations: int = 3
     cuts: int = 1
     outages: int = 1
 
 
-ONE_LIFE = Bounds()
-"""One life of the upstream, all that surrounds it at its worst."""
-TWO_LIVES = Bounds(upstream_lives=2, daemon_lives=2, outages=0)
-"""The upstream starts again under its name; the daemon and its peer fail once."""
+ONE_INCARNATION = Bounds()
+"""One incarnation of the upstream, with all failures around it."""
+TWO_INCARNATIONS = Bounds(upstream_incarnations=2, daemon_incarnations=2, outages=0)
+"""The upstream restarts under its name; the daemon restarts once and loses its peer once."""
 
 
 class Rules(NamedTuple):
     """The rules of the protocol; a mutant turns one off."""
 
-    bind_before_ack: bool = True
-    repeats_wait: bool = True
-    ask_before_serving: bool = True
-    hear_store_and_peer: bool = True
+    store_before_ack: bool = True
+    delay_repeated_ack: bool = True
+    wait_before_serving: bool = True
+    require_store_and_peer: bool = True
     keep_ended: bool = True
-    tell_start: bool = True
+    announce_start: bool = True
     read_before_write: bool = True
 
 
 class World(NamedTuple):
-    """All there is; `beats` are announcements on their way: state, sequence and start.
+    """State of the upstream, the daemon, the store and the peer.
 
-    `current`, `ended`: the daemon's knowledge. `store` and `peer` hold the ended lives noted there,
-    None before the daemon was known. A life is told by its start, 1 or 2: both have one name.
-    `binding`: the life whose leaving waits for its acknowledgement, 0 for none; `left`: the last
-    that has said that it leaves; `acked`: the last that this was acknowledged to.
+    `announcements` are in transit: state, sequence and start. `current` and `ended` are what the
+    daemon knows. `store` and `peer` hold the ended incarnations recorded there, None before the
+    daemon was known. An upstream incarnation is identified by its start, 1 or 2. `unacked`: the one
+    whose leaving is not acknowledged yet, 0 for none; `last_left`: the last one that announced
+    leaving; `acked`: the last one whose leaving was acknowledged.
     """
 
-    says: str = "ready"
+    upstream_state: str = "ready"
     sequence: int = 0
     born: int = 1
-    left: int = 0
-    beats: tuple[tuple[str, int, int], ...] = ()
-    life: int = 1
-    up: bool = True
+    last_left: int = 0
+    announcements: tuple[tuple[str, int, int], ...] = ()
+    daemon_incarnation: int = 1
+    daemon_up: bool = True
     current: tuple[str, int, int] | None = None
     ended: tuple[int, ...] = ()
-    settled: bool = True
-    asked_store: bool = True
-    asked_peer: bool = True
-    binding: int = 0
-    noted: bool = False
-    wrote: bool = False
+    may_serve: bool = True
+    store_read: bool = True
+    peer_answered: bool = True
+    unacked: int = 0
+    peer_recorded: bool = False
+    store_recorded: bool = False
     store: tuple[int, ...] | None = ()
     store_up: bool = True
     outages: int = 0
     peer: tuple[int, ...] | None = ()
-    peer_life: int = 1
-    linked: bool = True
+    peer_incarnation: int = 1
+    connected: bool = True
     cuts: int = 0
     acked: int = 0
-    served_after: bool = False
+    served_after_ack: bool = False
 
 
 Step = tuple[str, World]
 
 
-def own_of(world: World) -> OwnUpstream:
-    """Return the daemon's real knowledge of its upstream."""
-    own = OwnUpstream(lives_of(world.ended))
+def own_upstream_of(world: World) -> OwnUpstream:
+    """Return the daemon's knowledge of its upstream as the product's object."""
+    own = OwnUpstream(incarnations_of(world.ended))
     if world.current is not None:
         own.current = announced(*world.current)
     return own
 
 
-def lives_of(starts: tuple[int, ...]) -> list[UpstreamIncarnation]:
-    """Return ended lives by their starts."""
+def incarnations_of(starts: tuple[int, ...]) -> list[UpstreamIncarnation]:
+    """Return the upstream incarnations with these starts."""
     return [UpstreamIncarnation(NAME, start) for start in starts]
 
 
-def starts_of(lives: EndedIncarnations) -> tuple[int, ...]:
-    """Return the starts of ended lives."""
-    return tuple(life.born_ms for life in lives.incarnations())
+def starts_of(ended: EndedIncarnations) -> tuple[int, ...]:
+    """Return the starts of ended incarnations."""
+    return tuple(incarnation.born_ms for incarnation in ended.incarnations())
 
 
 def with_own(world: World, own: OwnUpstream) -> World:
-    """Return the world with what the daemon knows now."""
+    """Return the world with the daemon's knowledge replaced by `own`."""
     current = None
     if own.current is not None:
         current = (own.current["state"], own.current["sequence"], own.current["born_ms"])
@@ -124,7 +124,7 @@
 
 
 def announced(state: str, sequence: int, born: int) -> Any:
-    """Return what the upstream announces."""
+    """Return an announcement of the upstream."""
     return {
         "instance": NAME,
         "service": "s",
@@ -137,184 +137,211 @@
 
 
 def registry_of(world: World) -> Registry:
-    """Return the peer's real list, with the daemon as it is known there."""
+    """Return the registry of the peer, with the daemon as it is known there."""
     registry = Registry("p", "one")
     if world.peer is not None:
-        ended = tuple(lives_of(world.peer))
-        known = Registration("d", str(world.peer_life), "1.2.3.4:5", "one", ended)
+        ended = tuple(incarnations_of(world.peer))
+        known = Registration("d", str(world.peer_incarnation), "1.2.3.4:5", "one", ended)
         registry.add(Peer(known, 0.0))
     return registry
 
 
 def member(world: World) -> Any:
-    """Return what the daemon tells a peer of itself."""
+    """Return the report that the daemon sends to a peer."""
     return {
         "name": "d",
-        "incarnation": str(world.life),
+        "incarnation": str(world.daemon_incarnation),
         "telling": 1,
         "frames": "1.2.3.4:5",
         "data_centre": "one",
         "version": 0,
         "upstream": announced("ready", 0, 0),
-        "ended": EndedIncarnations(lives_of(world.ended)).rows(),
+        "ended": EndedIncarnations(incarnations_of(world.ended)).rows(),
     }
 
 
 class Spec:
-    """The transitions under some rules."""
+    """The transitions under the given rules."""
 
     def __init__(self, rules: Rules, bounds: Bounds) -> None:
         self.rules = rules
         self.bounds = bounds
 
     def transitions(self, flat: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
-        """Return every step that may come next."""
+        """Return every possible next step."""
         world = World(*flat)
-        steps = [*self.of_upstream(world), *self.of_surroundings(world)]
-        if world.up:
-            steps += [*self.of_daemon(world), *self.of_settling(world)]
+        steps = [*self.upstream_steps(world), *self.environment_steps(world)]
+        if world.daemon_up:
+            steps += [*self.daemon_steps(world), *self.startup_steps(world)]
         return [(label, tuple(after)) for label, after in steps]
 
-    def of_upstream(self, world: World) -> list[Step]:
-        """The upstream announces itself; it goes on with its old word for a while or not."""
+    def upstream_steps(self, world: World) -> list[Step]:
+        """The upstream announces its previous state or leaving, or restarts under its name."""
         steps: list[Step] = []
-        if world.sequence < MOST_BEATS - (world.born - 1):
-            for state in {world.says, "leaving"}:
+        if world.sequence < MAX_ANNOUNCEMENTS - (world.born - 1):
+            for state in {world.upstream_state, "leaving"}:
                 sequence = world.sequence + 1
-                start = world.born if self.rules.tell_start else 0
-                beats = (*world.beats, (state, sequence, start))
-                after = world._replace(says=state, sequence=sequence, beats=beats)
+                start = world.born if self.rules.announce_start else 0
+                announcements = (*world.announcements, (state, sequence, start))
+                after = world._replace(
+                    upstream_state=state, sequence=sequence, announcements=announcements
+                )
                 if state == "leaving":
-                    after = after._replace(left=world.born)
-                steps.append((f"upstream says {state} ({sequence}, life {world.born})", after))
-        if world.born < self.bounds.upstream_lives and world.sequence:
-            after = world._replace(born=world.born + 1, says="ready", sequence=0)
-            steps.append(("upstream starts again under its name", after))
+                    after = after._replace(last_left=world.born)
+                steps.append(
+                    (f"upstream announces {state} ({sequence}, incarnation {world.born})", after)
+                )
+        if world.born < self.bounds.upstream_incarnations and world.sequence:
+            after = world._replace(born=world.born + 1, upstream_state="ready", sequence=0)
+            steps.append(("upstream restarts under its name", after))
         return steps
 
-    def of_surroundings(self, world: World) -> list[Step]:
-        """The daemon dies and comes back; the store and the peer go and come back."""
+    def environment_steps(self, world: World) -> list[Step]:
+        """The daemon ends and restarts; the store and the peer fail; the store recovers."""
         steps: list[Step] = []
-        if world.up and world.life < self.bounds.daemon_lives:
-            steps.append(("daemon dies", self.dies(world)))
-        if not world.up:
-            steps.append(("daemon starts again", self.starts(world)))
+        if world.daemon_up and world.daemon_incarnation < self.bounds.daemon_incarnations:
+            steps.append(("daemon ends", self.stop_daemon(world)))
+        if not world.daemon_up:
+            steps.append(("daemon restarts", self.start_daemon(world)))
         if world.store_up and world.outages < self.bounds.outages:
             gone = world._replace(store_up=False, outages=world.outages + 1)
-            steps.append(("store goes away", gone))
+            steps.append(("store fails", gone))
         if not world.store_up:
-            steps.append(("store is back", world._replace(store_up=True)))
-        if world.linked and world.cuts < self.bounds.cuts:
-            steps.append(("peer is cut off", world._replace(linked=False, cuts=world.cuts + 1)))
+            steps.append(("store recovers", world._replace(store_up=True)))
+        if world.connected and world.cuts < self.bounds.cuts:
+            steps.append(
+                (
+                    "connection to the peer is lost",
+                    world._replace(connected=False, cuts=world.cuts + 1),
+                )
+            )
         return steps
 
-    def dies(self, world: World) -> World:
-        """All that the daemon knew is gone."""
+    def stop_daemon(self, world: World) -> World:
+        """The daemon ends and loses its state."""
         return world._replace(
-            up=False,
+            daemon_up=False,
             current=None,
             ended=(),
-            settled=False,
-            asked_store=False,
-            asked_peer=False,
-            binding=0,
-            noted=False,
-            wrote=False,
-            linked=False,
+            may_serve=False,
+            store_read=False,
+            peer_answered=False,
+            unacked=0,
+            peer_recorded=False,
+            store_recorded=False,
+            connected=False,
+        )
+
+    def start_daemon(self, world: World) -> World:
+        """The next incarnation has no state and may not serve its upstream yet."""
+        may_serve = not self.rules.wait_before_serving
+        return world._replace(
+            daemon_up=True, daemon_incarnation=world.daemon_incarnation + 1, may_serve=may_serve
         )
 
-    def starts(self, world: World) -> World:
-        """The next life knows nothing, and may not serve its upstream yet."""
-        settled = not self.rules.ask_before_serving
-        return world._replace(up=True, life=world.life + 1, settled=settled)
-
-    def of_daemon(self, world: World) -> list[Step]:
-        """The daemon hears announcements, binds a leaving, acknowledges it, and serves."""
-        steps = [self.hears(world, at) for at in range(len(world.beats))]
-        may_write = world.asked_store or not self.rules.read_before_write
-        if world.binding and world.store_up and not world.wrote and may_write:
-            steps.append(("store notes", world._replace(store=world.ended, wrote=True)))
-        if world.binding and world.linked and not world.noted:
-            steps.append(("peer notes", self.told(world)._replace(noted=True)))
-        if world.binding and (world.noted or world.wrote or not self.rules.bind_before_ack):
-            acked = max(world.acked, world.binding)
-            steps.append(("daemon acknowledges", world._replace(binding=0, acked=acked)))
+    def daemon_steps(self, world: World) -> list[Step]:
+        """The daemon receives announcements, records and acknowledges a leaving, and serves."""
+        steps = [self.receive(world, at) for at in range(len(world.announcements))]
+        may_write = world.store_read or not self.rules.read_before_write
+        if world.unacked and world.store_up and not world.store_recorded and may_write:
+            steps.append(
+                (
+                    "store records the leaving",
+                    world._replace(store=world.ended, store_recorded=True),
+                )
+            )
+        if world.unacked and world.connected and not world.peer_recorded:
+            steps.append(
+                (
+                    "peer records the leaving",
+                    self.report_to_peer(world)._replace(peer_recorded=True),
+                )
+            )
+        if world.unacked and (
+            world.peer_recorded or world.store_recorded or not self.rules.store_before_ack
+        ):
+            acked = max(world.acked, world.unacked)
+            steps.append(("daemon acknowledges", world._replace(unacked=0, acked=acked)))
         current = world.current
         is_ready = current is not None and current[0] == "ready"
-        if world.settled and is_ready and current is not None and current[2] <= world.acked:
-            steps.append(("daemon serves", world._replace(served_after=True)))
+        if world.may_serve and is_ready and current is not None and current[2] <= world.acked:
+            steps.append(("daemon serves", world._replace(served_after_ack=True)))
         return steps
 
-    def hears(self, world: World, at: int) -> Step:
-        """One announcement arrives, whichever was sent first."""
-        state, sequence, born = world.beats[at]
-        rest = world._replace(beats=world.beats[:at] + world.beats[at + 1 :])
-        own = own_of(rest)
+    def receive(self, world: World, at: int) -> Step:
+        """The announcement at this index arrives, in any order."""
+        state, sequence, born = world.announcements[at]
+        rest = world._replace(
+            announcements=world.announcements[:at] + world.announcements[at + 1 :]
+        )
+        own = own_upstream_of(rest)
         is_known = UpstreamIncarnation(NAME, born) in own.ended
-        heard = own.apply_announcement(announced(state, sequence, born))
+        result = own.apply_announcement(announced(state, sequence, born))
         after = with_own(rest, own)
-        if heard is AnnouncementResult.LEAVING:
-            after = after._replace(binding=born, noted=False, wrote=False)
-        elif state == "leaving" and is_known and not self.rules.repeats_wait:
-            after = after._replace(acked=max(world.acked, born), binding=0)
-        return f"daemon hears {state} ({sequence}, life {born})", after
-
-    def told(self, world: World) -> World:
-        """The peer takes in what the daemon tells of itself."""
+        if result is AnnouncementResult.LEAVING:
+            after = after._replace(unacked=born, peer_recorded=False, store_recorded=False)
+        elif state == "leaving" and is_known and not self.rules.delay_repeated_ack:
+            after = after._replace(acked=max(world.acked, born), unacked=0)
+        return f"daemon receives {state} ({sequence}, incarnation {born})", after
+
+    def report_to_peer(self, world: World) -> World:
+        """The peer applies the daemon's report."""
         registry = registry_of(world)
         registry.update_member(0.0, member(world))
         peer = registry.peers["d"]
         ended = starts_of(peer.ended) if self.rules.keep_ended else world.ended
-        return world._replace(peer=ended, peer_life=world.life)
+        return world._replace(peer=ended, peer_incarnation=world.daemon_incarnation)
 
-    def of_settling(self, world: World) -> list[Step]:
-        """A restarted daemon hears what its earlier life acknowledged."""
+    def startup_steps(self, world: World) -> list[Step]:
+        """A restarted daemon learns which leavings its earlier incarnation acknowledged."""
         steps: list[Step] = []
-        if not world.asked_store and world.store_up:
-            heard = self.remembers(world, world.store or ())._replace(asked_store=True)
-            steps.append(("daemon reads its record", self.settles(heard)))
-        if not world.linked:
+        if not world.store_read and world.store_up:
+            result = self.with_ended(world, world.store or ())._replace(store_read=True)
+            steps.append(("daemon reads its record", self.with_startup_barrier(result)))
+        if not world.connected:
             registry = registry_of(world)
             registry.update_member(0.0, member(world))
             known = registry.ended_incarnations("d")
-            after = self.told(world)._replace(linked=True, asked_peer=True)
+            after = self.report_to_peer(world)._replace(connected=True, peer_answered=True)
             if known is not None:
-                after = self.remembers(
+                after = self.with_ended(
                     after, starts_of(EndedIncarnations(incarnations_from_rows(known)))
                 )
-            steps.append(("peer connects", self.settles(after)))
+            steps.append(("peer connects", self.with_startup_barrier(after)))
         return steps
 
-    def remembers(self, world: World, ended: tuple[int, ...]) -> World:
-        """The daemon takes in lives that have ended."""
-        own = own_of(world)
-        own.add_ended(lives_of(ended))
+    def with_ended(self, world: World, ended: tuple[int, ...]) -> World:
+        """Return the world in which the daemon also knows these ended incarnations."""
+        own = own_upstream_of(world)
+        own.add_ended(incarnations_of(ended))
         return with_own(world, own)
 
-    def settles(self, world: World) -> World:
-        """The daemon may serve once it has heard enough."""
-        barrier = StartupBarrier(first=world.settled)
-        if world.asked_store:
+    def with_startup_barrier(self, world: World) -> World:
+        """The daemon may serve once its startup barrier is done."""
+        barrier = StartupBarrier(first=world.may_serve)
+        if world.store_read:
             barrier.store_answered({"p"})
-        if world.asked_peer:
+        if world.peer_answered:
             barrier.peer_remembered()
         enough = barrier.done
-        if not self.rules.hear_store_and_peer:
-            enough = enough or world.asked_store or world.asked_peer
-        return world._replace(settled=enough)
+        if not self.rules.require_store_and_peer:
+            enough = enough or world.store_read or world.peer_answered
+        return world._replace(may_serve=enough)
 
 
-def specification(name: str, rules: Rules, bounds: Bounds = ONE_LIFE) -> Protocol:
-    """Return the specification under some rules, within some bounds."""
+def specification(name: str, rules: Rules, bounds: Bounds = ONE_INCARNATION) -> Protocol:
+    """Return the specification under the given rules, within the given bounds."""
     return protocol(
         name,
         World(),
         Spec(rules, bounds).transitions,
         {
-            "an acknowledged leaving gets no more calls": lambda w: not w["served_after"],
-            "a life that never said that it leaves has not ended": lambda w: (
-                all(start <= w["left"] for start in w["ended"])
-                and (w["born"] == 1 or w["left"] == 2 or 0 not in w["ended"])
+            "an upstream gets no calls after its leaving was acknowledged": lambda w: (
+                not w["served_after_ack"]
+            ),
+            "an incarnation that never announced leaving has not ended": lambda w: (
+                all(start <= w["last_left"] for start in w["ended"])
+                and (w["born"] == 1 or w["last_left"] == 2 or 0 not in w["ended"])
             ),
         },
     )
--- a/tests/model/spread_spec.py
+++ b/tests/model/spread_spec.py
@@ -1,7 +1,7 @@
-"""Versions of the configuration on their way: store, a daemon that reads it, one turned away.
+"""Distribution of configuration versions: a store, a daemon that reads it, and one that does not.
 
-What a daemon holds is the real core object, built anew for each step. Messages between the two are
-late, lost, doubled and out of order. One version cannot be used.
+A daemon's state is a `CurrentVersion`, built for each step. Messages between the two may be late,
+lost, repeated or out of order. One version is unusable.
 """
 
 from __future__ import annotations
@@ -15,34 +15,35 @@
     from minicheck import Protocol
 
 READER, OTHER = 0, 1
-"""The two daemons."""
+"""Indexes of the two daemons."""
 NEWEST = 3
 """Number of the last version that the operator writes."""
 UNUSABLE = 2
-"""A version that no daemon can use."""
-MOST_RESTARTS = 1
-"""Times that the daemon which is turned away starts again."""
+"""Number of the version that no daemon can use."""
+MAX_RESTARTS = 1
+"""Maximum number of restarts of the other daemon."""
 
 
 class Rules(NamedTuple):
     """The rules of the protocol; a mutant turns one off."""
 
-    never_back: bool = True
-    whole_or_not: bool = True
-    ask_for_newer: bool = True
-    refused_stays_refused: bool = True
+    never_older: bool = True
+    reject_unusable: bool = True
+    request_newer: bool = True
+    remember_unusable: bool = True
 
 
 class World(NamedTuple):
-    """All there is.
+    """State of the store, both daemons and sent messages.
 
-    `held`: what each daemon has in force; `refused`: the newest that it could not use. `sent` holds
-    messages: receiver, whether it is a content, number. The last two tell of violations.
+    `current`: the version each daemon has in force; `rejected`: the newest it could not use. `sent`
+    holds messages: receiver, whether it has the content, number. `went_back` and `used_unusable`
+    record violations.
     """
 
     store: int = 1
-    held: tuple[int, int] = (0, 0)
-    refused: tuple[int, int] = (0, 0)
+    current: tuple[int, int] = (0, 0)
+    rejected: tuple[int, int] = (0, 0)
     sent: frozenset[tuple[int, bool, int]] = frozenset()
     restarts: int = 0
     went_back: bool = False
@@ -52,112 +53,112 @@
 Step = tuple[str, World]
 
 
-def held_of(world: World, daemon: int) -> CurrentVersion:
-    """Return what a daemon holds as the real object."""
-    held = CurrentVersion()
-    held.adopt(Version(world.held[daemon], b""))
-    if world.refused[daemon]:
-        held.mark_unusable(Version(world.refused[daemon], b""))
-    return held
+def current_version_of(world: World, daemon: int) -> CurrentVersion:
+    """Return the state of a daemon as a `CurrentVersion`."""
+    current = CurrentVersion()
+    current.adopt(Version(world.current[daemon], b""))
+    if world.rejected[daemon]:
+        current.mark_unusable(Version(world.rejected[daemon], b""))
+    return current
 
 
-def with_one(pair: tuple[int, int], daemon: int, value: int) -> tuple[int, int]:
-    """Return the pair with one value replaced."""
+def replaced(pair: tuple[int, int], daemon: int, value: int) -> tuple[int, int]:
+    """Return the pair with the value of one daemon replaced."""
     return (value, pair[OTHER]) if daemon == READER else (pair[READER], value)
 
 
 class Spec:
-    """The transitions under some rules."""
+    """The transitions under the given rules."""
 
     def __init__(self, rules: Rules) -> None:
         self.rules = rules
 
     def transitions(self, flat: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
-        """Return every step that may come next."""
+        """Return every possible next step."""
         world = World(*flat)
         steps: list[Step] = []
         if world.store < NEWEST:
             steps.append(("operator writes", world._replace(store=world.store + 1)))
         for number in range(1, world.store + 1):
-            steps.append((f"reader reads {number}", self.offered(world, READER, number)))
+            steps.append((f"reader reads {number}", self.offer(world, READER, number)))
         for message in world.sent:
-            steps.append((f"{message} arrives", self.arrives(world, message)))
+            steps.append((f"{message} arrives", self.deliver(world, message)))
             steps.append((f"{message} is lost", world._replace(sent=world.sent - {message})))
-        for teller in (READER, OTHER):
-            steps.append((f"{teller} tells", self.tells(world, teller)))
-        if world.restarts < MOST_RESTARTS:
-            steps.append(("the other starts again", self.starts_again(world)))
+        for sender in (READER, OTHER):
+            steps.append((f"{sender} announces its version", self.announce(world, sender)))
+        if world.restarts < MAX_RESTARTS:
+            steps.append(("the other restarts", self.restart(world)))
         return [(label, tuple(after)) for label, after in steps]
 
-    def starts_again(self, world: World) -> World:
-        """A new life holds nothing."""
+    def restart(self, world: World) -> World:
+        """The other daemon restarts without a version."""
         return world._replace(
-            held=with_one(world.held, OTHER, 0),
-            refused=with_one(world.refused, OTHER, 0),
+            current=replaced(world.current, OTHER, 0),
+            rejected=replaced(world.rejected, OTHER, 0),
             restarts=world.restarts + 1,
         )
 
-    def tells(self, world: World, teller: int) -> World:
-        """A daemon tells the other one which version it holds."""
-        return world._replace(sent=world.sent | {(1 - teller, False, world.held[teller])})
+    def announce(self, world: World, sender: int) -> World:
+        """A daemon announces its version to the other."""
+        return world._replace(sent=world.sent | {(1 - sender, False, world.current[sender])})
 
-    def arrives(self, world: World, message: tuple[int, bool, int]) -> World:
+    def deliver(self, world: World, message: tuple[int, bool, int]) -> World:
         """A message arrives; it may arrive again later."""
         receiver, is_content, number = message
         if is_content:
-            return self.offered(world, receiver, number)
-        match held_of(world, receiver).reply(number, asked=False):
+            return self.offer(world, receiver, number)
+        match current_version_of(world, receiver).reply(number, asked=False):
             case Reply.CONTENT:
-                sent = (1 - receiver, True, world.held[receiver])
+                sent = (1 - receiver, True, world.current[receiver])
                 return world._replace(sent=world.sent | {sent})
-            case Reply.REQUEST if self.rules.ask_for_newer:
-                return self.tells(world, receiver)
+            case Reply.REQUEST if self.rules.request_newer:
+                return self.announce(world, receiver)
         return world
 
-    def offered(self, world: World, daemon: int, number: int) -> World:
-        """A daemon gets a version, from the store or from the other."""
-        held = held_of(world, daemon)
-        if not held.wants(number) and self.rules.never_back:
+    def offer(self, world: World, daemon: int, number: int) -> World:
+        """A daemon receives a version, from the store or from the other."""
+        current = current_version_of(world, daemon)
+        if not current.wants(number) and self.rules.never_older:
             return world
-        if number == UNUSABLE and self.rules.whole_or_not:
-            held.mark_unusable(Version(number, b""))
-            if not self.rules.refused_stays_refused:
-                held = CurrentVersion()
+        if number == UNUSABLE and self.rules.reject_unusable:
+            current.mark_unusable(Version(number, b""))
+            if not self.rules.remember_unusable:
+                current = CurrentVersion()
         else:
-            held.adopt(Version(number, b""))
-        now = held.version.number
-        refused = UNUSABLE if number == UNUSABLE else world.refused[daemon]
+            current.adopt(Version(number, b""))
+        now = current.version.number
+        rejected = UNUSABLE if number == UNUSABLE else world.rejected[daemon]
         return world._replace(
-            held=with_one(world.held, daemon, now),
-            refused=with_one(world.refused, daemon, refused),
-            went_back=world.went_back or now < world.held[daemon],
+            current=replaced(world.current, daemon, now),
+            rejected=replaced(world.rejected, daemon, rejected),
+            went_back=world.went_back or now < world.current[daemon],
             used_unusable=world.used_unusable or now == UNUSABLE,
         )
 
-    def mends(self, flat: dict[str, Any]) -> bool:
+    def exchange_converges(self, flat: dict[str, Any]) -> bool:
         """Return whether one undisturbed exchange brings both daemons the newest usable version."""
         world = World(**flat)._replace(sent=frozenset())
         for number in range(1, world.store + 1):
-            world = self.offered(world, READER, number)
+            world = self.offer(world, READER, number)
         for _ in range(2):
-            world = self.tells(world, READER)
+            world = self.announce(world, READER)
             for _ in range(3):
                 for message in sorted(world.sent):
-                    world = self.arrives(world, message)
+                    world = self.deliver(world, message)
         usable = max(n for n in range(1, world.store + 1) if n != UNUSABLE)
-        return world.held == (usable, usable)
+        return world.current == (usable, usable)
 
 
 def specification(name: str, rules: Rules) -> Protocol:
-    """Return the specification under some rules."""
+    """Return the specification under the given rules."""
     spec = Spec(rules)
     return protocol(
         name,
         World(),
         spec.transitions,
         {
-            "never back within a life": lambda w: not w["went_back"],
+            "no incarnation goes back to an older version": lambda w: not w["went_back"],
             "an unusable version is not used": lambda w: not w["used_unusable"],
-            "an exchange brings the newest": spec.mends,
+            "an exchange delivers the newest version": spec.exchange_converges,
         },
     )
--- a/tests/model/test_dispatch_model.py
+++ b/tests/model/test_dispatch_model.py
@@ -1,4 +1,4 @@
-"""Dispatch holds its invariants; without any one rule it does not."""
+"""The dispatch protocol keeps its invariants, and violates one without any of its rules."""
 
 from __future__ import annotations
 
@@ -13,6 +13,6 @@
 
 
 @pytest.mark.parametrize("rule", Rules._fields)
-def test_without_the_rule_it_does_not(rule: str) -> None:
+def test_without_the_rule_an_invariant_is_violated(rule: str) -> None:
     rules = Rules()._replace(**{rule: False})
     assert violated(specification(f"dispatch without {rule}", rules)), rule
--- a/tests/model/test_log_model.py
+++ b/tests/model/test_log_model.py
@@ -1,4 +1,4 @@
-"""The configuration log holds its invariants; without any one rule it does not."""
+"""The configuration log keeps its invariants; without any of its rules it violates one."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from foldhoist.configlog import fold as real
 from foldhoist.configlog.fold import PublishRecord, SnapshotRecord, State, from_snapshot
 from tests.model.checking import holds, violated
-from tests.model.log_spec import LOST_ANSWER, THREE_RACE, Rules, specification
+from tests.model.log_spec import LOST_ANSWER, THREE_OPERATORS, Rules, specification
 
 
 def accept_when_inexact(state: State, record: object) -> State:
@@ -18,7 +18,7 @@
 
 
 def no_base_check(state: State, record: object) -> State:
-    """Accepts a proposal whatever it is based on."""
+    """Accepts a proposal with any base."""
     if isinstance(record, PublishRecord):
         body = {**record.body, "base": state.generation, "base_digest": state.digest}
         record = PublishRecord(record.offset, body)  # type: ignore[arg-type]
@@ -26,7 +26,7 @@
 
 
 def no_duplicate_check(state: State, record: object) -> State:
-    """Judges a proposal that was appended twice as if it were two."""
+    """Evaluates a proposal that was appended twice as two proposals."""
     if isinstance(record, PublishRecord):
         name = record.body["publish_id"]
         left = tuple(each for each in state.outcomes if each["publish_id"] != name)
@@ -34,21 +34,21 @@
     return real.fold(state, record)  # type: ignore[arg-type]
 
 
-def keep_is_always_exact(state: State, record: object) -> State:
-    """Takes a state that was written again for the newest, whatever came in between."""
+def snapshot_is_always_exact(state: State, record: object) -> State:
+    """Treats every snapshot as exact, whatever was appended before it."""
     if isinstance(record, SnapshotRecord) and record.offset >= state.folded:
-        kept = from_snapshot(record.body)
-        return kept._replace(folded=record.offset + 1, exact=True)
+        snapshot = from_snapshot(record.body)
+        return snapshot._replace(folded=record.offset + 1, exact=True)
     return real.fold(state, record)  # type: ignore[arg-type]
 
 
-def start_is_empty(records: object, oldest: int) -> State:
-    """Takes the oldest record kept for the first one ever."""
+def oldest_is_first(records: object, oldest: int) -> State:
+    """Treats the oldest retained record as the first one of the log."""
     return State(folded=oldest, exact=True)
 
 
-def gap_is_ignored(records: list[object], oldest: int) -> State:
-    """Starts from any state that was written again, also if records after it are missing."""
+def ignore_gap(records: list[object], oldest: int) -> State:
+    """Starts from any snapshot, also if records after its state are missing."""
     if oldest == 0:
         return State()
     for record in records:
@@ -57,8 +57,8 @@
     return State(folded=oldest, exact=False)
 
 
-def last_heard_wins(state: State, other: State) -> State:
-    """Takes over whatever a peer says."""
+def last_received_wins(state: State, other: State) -> State:
+    """Adopts the state of a peer without comparison."""
     return other
 
 
@@ -66,21 +66,21 @@
     "accepts when inexact": Rules(fold=accept_when_inexact),
     "no base check": Rules(fold=no_base_check),
     "no duplicate check": Rules(fold=no_duplicate_check),
-    "a kept state is always exact": Rules(fold=keep_is_always_exact),
-    "the oldest record is the first": Rules(anchor=start_is_empty),
-    "a gap after a kept state is ignored": Rules(anchor=gap_is_ignored),
-    "the last heard wins": Rules(merge=last_heard_wins),
+    "a snapshot is always exact": Rules(fold=snapshot_is_always_exact),
+    "the oldest record is the first": Rules(initial_state=oldest_is_first),
+    "a gap after a snapshot is ignored": Rules(initial_state=ignore_gap),
+    "the last received state wins": Rules(merge=last_received_wins),
 }
 
 
-@pytest.mark.parametrize("appends", [LOST_ANSWER, THREE_RACE])
+@pytest.mark.parametrize("appends", [LOST_ANSWER, THREE_OPERATORS])
 def test_the_log_holds(appends: tuple[int, ...]) -> None:
     assert holds(specification(f"log {appends}", Rules(), appends))
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_without_the_rule_it_does_not(name: str) -> None:
-    shapes = (LOST_ANSWER, THREE_RACE)
+def test_without_the_rule_an_invariant_is_violated(name: str) -> None:
+    appends = (LOST_ANSWER, THREE_OPERATORS)
     assert any(
-        violated(specification(f"log {each}, {name}", MUTANTS[name], each)) for each in shapes
+        violated(specification(f"log {each}, {name}", MUTANTS[name], each)) for each in appends
     )
--- a/tests/model/test_membership_model.py
+++ b/tests/model/test_membership_model.py
@@ -1,4 +1,4 @@
-"""Daemons that join find each other, and a lost one's record harms nobody."""
+"""Daemons that join find each other, and the record of a lost one replaces no running daemon."""
 
 from __future__ import annotations
 
@@ -13,6 +13,6 @@
 
 
 @pytest.mark.parametrize("rule", Rules._fields)
-def test_without_the_rule_they_do_not(rule: str) -> None:
+def test_without_the_rule_an_invariant_is_violated(rule: str) -> None:
     rules = Rules()._replace(**{rule: False})
     assert violated(specification(f"membership without {rule}", rules)), rule
--- a/tests/model/test_spread_model.py
+++ b/tests/model/test_spread_model.py
@@ -1,4 +1,4 @@
-"""Versions reach every daemon and never go back; without any one rule they do not."""
+"""Versions reach every daemon and never go back; without any of the rules one of these fails."""
 
 from __future__ import annotations
 
@@ -13,6 +13,6 @@
 
 
 @pytest.mark.parametrize("rule", Rules._fields)
-def test_without_the_rule_they_do_not(rule: str) -> None:
+def test_without_the_rule_an_invariant_is_violated(rule: str) -> None:
     rules = Rules()._replace(**{rule: False})
     assert violated(specification(f"spread without {rule}", rules)), rule
