--- a/soak/run.py
+++ b/soak/run.py
@@ -90,7 +90,7 @@
         for number, (name, target) in enumerate(self._targets.items()):
             target.work_s = SERVICE_S
             await target.start()
-            log = self._log.door(name).address
+            log = self._log.endpoint(name).address
             centre = f"c{number % DATA_CENTRES}"
             self._daemons[name] = DaemonProcess(name, centre, target.address, log, self._folder)
         await self._configure()
@@ -170,9 +170,9 @@
                 self._daemons[fault.daemon].send_signal(signal.SIGCONT)
                 self._interrupted.discard(fault.daemon)
             case "store":
-                self._log.door(fault.daemon).fault = fault.store_fault
+                self._log.endpoint(fault.daemon).fault = fault.store_fault
                 await asyncio.sleep(fault.duration)
-                self._log.door(fault.daemon).fault = ""
+                self._log.endpoint(fault.daemon).fault = ""
             case "full":
                 self._targets[fault.daemon].full = True
                 await asyncio.sleep(fault.duration)
--- a/tests/adapter/__init__.py
+++ b/tests/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the adapter to the users' platform, and of daemons that run through it."""
+"""Tests of the platform adapter and of daemons that use it."""
--- a/tests/adapter/cluster.py
+++ b/tests/adapter/cluster.py
@@ -1,4 +1,4 @@
-"""Daemons that run through the adapter, in this process, with stand-ins around them."""
+"""Daemons that use the platform adapter, in this process, with a fake store and fake targets."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-WAIT_S = 90.0
-"""Longest wait for anything in a test, seconds: it ends what hangs, and says nothing of speed."""
+TIMEOUT_S = 90.0
+"""Timeout of every wait in a test, in seconds; only guards against a hang."""
 DEADLINE_S = 60
-"""Time that a request has, and its route gives it, unless a test is about that, seconds."""
+"""Default deadline of a request and timeout of its route, in seconds."""
 SETTINGS = """
 [daemon]
 name = {name}
@@ -48,7 +48,7 @@
 
 
 class Answer(NamedTuple):
-    """What a client got; `closed` if the connection ended after it or instead of it."""
+    """An answer; `closed` if the connection ended with it, or without one at status 0."""
 
     status: int
     headers: dict[str, str]
@@ -57,13 +57,13 @@
 
 
 class Cluster:
-    """A store, targets and a daemon beside each."""
+    """A fake store, and fake targets with a daemon each."""
 
     def __init__(self) -> None:
         self.log = KeyedLog()
         self.targets: dict[str, FakeTarget] = {}
         self.daemons: dict[str, MeshDaemon] = {}
-        self.places: dict[str, str] = {}
+        self.data_centres: dict[str, str] = {}
         self.customers: list[dict[str, Any]] = []
         self.sequence = 0
 
@@ -72,7 +72,7 @@
         return self
 
     async def __aexit__(self, *exc: object) -> None:
-        """Stop everything."""
+        """Stop all daemons, targets and the store."""
         self.log.down = False
         for daemon in self.daemons.values():
             if not daemon.stopped.is_set():
@@ -82,27 +82,27 @@
         self.log.close()
 
     async def add(self, name: str, service: str = "shop", data_centre: str = "one") -> None:
-        """Start a target and its daemon, and let the target announce itself."""
+        """Start a target and its daemon, and send the first heartbeat."""
         target = FakeTarget(service, f"i-{name}")
         await target.start()
         self.targets[name] = target
-        self.places[name] = data_centre
+        self.data_centres[name] = data_centre
         await self.start_daemon(name, first=True)
-        await self.beat(name)
+        await self.heartbeat(name)
 
     async def start_daemon(self, name: str, first: bool = False) -> MeshDaemon:
-        """Start the daemon of a target, at the addresses of the one before."""
+        """Start the daemon of a target, at the addresses of its earlier incarnation."""
         old = self.daemons.get(name)
         addresses = old.addresses if old is not None else {}
         target = self.targets[name]
         text = SETTINGS.format(
             name=name,
-            data_centre=self.places[name],
+            data_centre=self.data_centres[name],
             callers=_port(addresses.get("callers") or reusable_address()),
             frames=_port(addresses.get("frames") or reusable_address()),
             address=target.address,
             service=target.service,
-            log=self.log.door(name).address,
+            log=self.log.endpoint(name).address,
             first="yes" if first else "no",
         )
         cfg, faults = parse_settings(text, "test")
@@ -115,7 +115,7 @@
     async def configure(
         self, version: int, routes: list[dict[str, Any]], **of_services: Any
     ) -> None:
-        """Write a configuration as the operator does; `of_services` stands at each service."""
+        """Store a configuration as the operator does; `of_services` are fields of each service."""
         services = sorted({target.service for target in self.targets.values()})
         body = {
             "version": f"{version:08x}",
@@ -128,11 +128,11 @@
         await self.log.put("keyed.op", "config", json.dumps(body).encode())
 
     async def evacuate(self, data_centre: str, value: bytes = b"{}") -> None:
-        """Ask to send nothing more to a data centre; an empty value takes that back."""
+        """Store an evacuation of a data centre; an empty value ends it."""
         await self.log.put("keyed.op", f"evacuate/{data_centre}", value)
 
     async def settle(self, version: int) -> None:
-        """Wait until all daemons know each other, their upstreams, and this version."""
+        """Wait until all running daemons know each other, their upstreams and this version."""
         count = len(self.daemons)
         await until(lambda: all(self._knows(d, version, count) for d in self.daemons.values()))
 
@@ -140,14 +140,16 @@
         if daemon.stopped.is_set():
             return True
         running = [d for d in self.daemons.values() if not d.stopped.is_set()]
-        told = [p for p in daemon.registry.peers.values() if p.upstream and p.upstream["instance"]]
+        reported = [
+            p for p in daemon.registry.peers.values() if p.upstream and p.upstream["instance"]
+        ]
         return (
             daemon.versions.version.number >= version
             and len(daemon.links.connected()) >= len(running) - 1
-            and len(told) >= len(running) - 1
+            and len(reported) >= len(running) - 1
         )
 
-    async def beat(self, name: str, state: str = "ready", **fields: Any) -> Answer:
+    async def heartbeat(self, name: str, state: str = "ready", **fields: Any) -> Answer:
         """Send a heartbeat of a target to its daemon."""
         self.sequence += 1
         target = self.targets[name]
@@ -160,11 +162,11 @@
         return await call(address, "PUT", f"/foldhoist/instances/{instance}", body=body)
 
     async def leave(self, name: str) -> Answer:
-        """Let a target say that it is gone."""
+        """Announce the departure of a target."""
         path = f"/foldhoist/instances/{self.targets[name].instance}"
         return await call(self.daemons[name].addresses["control"], "DELETE", path)
 
-    async def ask(self, name: str, path: str = "/a/1", method: str = "GET", **more: Any) -> Answer:
+    async def send(self, name: str, path: str = "/a/1", method: str = "GET", **more: Any) -> Answer:
         """Send a request through the daemon of this name."""
         headers = {
             "X-Attempt-Id": more.pop("attempt", "0a1b"),
@@ -175,7 +177,7 @@
         return await call(address, method, path, headers=headers, **more)
 
     async def ready(self, name: str) -> int:
-        """Return the status of a daemon's readiness."""
+        """Return the HTTP status of a daemon's readiness endpoint."""
         address = self.daemons[name].addresses["operators"]
         return (await call(address, "GET", "/foldhoist/ready")).status
 
@@ -188,8 +190,8 @@
     return {**plain, **more}
 
 
-def played(test: Callable[[Cluster], Awaitable[None]]) -> Callable[[], None]:
-    """Run a test with a cluster of its own."""
+def with_cluster(test: Callable[[Cluster], Awaitable[None]]) -> Callable[[], None]:
+    """Wrap an asynchronous test so that it runs with its own cluster."""
 
     async def run() -> None:
         async with Cluster() as cluster:
@@ -203,7 +205,7 @@
     return wrapped
 
 
-async def two(cluster: Cluster) -> None:
+async def start_two(cluster: Cluster) -> None:
     """Start two daemons of service shop in two data centres."""
     await cluster.add("a")
     await cluster.add("b", data_centre="two")
@@ -212,8 +214,8 @@
 
 
 async def until(is_true: Callable[[], bool]) -> None:
-    """Wait until something holds."""
-    async with asyncio.timeout(WAIT_S):
+    """Wait until the condition holds."""
+    async with asyncio.timeout(TIMEOUT_S):
         while not is_true():
             await asyncio.sleep(0.005)
 
@@ -226,12 +228,12 @@
     headers: dict[str, str] | None = None,
     host: str = "shop.example",
 ) -> Answer:
-    """Send one request on a connection of its own and return the answer."""
+    """Send one request on a new connection and return the answer."""
     ip, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(ip, int(port))
     writer.write(request_bytes(method, path, body, headers, host))
     try:
-        async with asyncio.timeout(WAIT_S):
+        async with asyncio.timeout(TIMEOUT_S):
             return await read_answer(reader)
     finally:
         writer.close()
@@ -244,7 +246,7 @@
     headers: dict[str, str] | None = None,
     host: str = "shop.example",
 ) -> bytes:
-    """Return a request."""
+    """Return an encoded request."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
     if body or method != "GET":
@@ -253,16 +255,16 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> Answer:
-    """Read one answer; an ended connection gives status 0."""
-    found = _Reading()
-    parser = httptools.HttpResponseParser(found)
-    while not found.done:
+    """Read one answer; status 0 if the connection ends before it is complete."""
+    reading = _Reading()
+    parser = httptools.HttpResponseParser(reading)
+    while not reading.done:
         data = await reader.read(65536)
         if not data:
             return Answer(0, {}, b"", True)
         parser.feed_data(data)
-    closed = found.headers.get("connection", "") == "close"
-    return Answer(parser.get_status_code(), found.headers, found.body, closed)
+    closed = reading.headers.get("connection", "") == "close"
+    return Answer(parser.get_status_code(), reading.headers, reading.body, closed)
 
 
 class _Reading:
--- a/tests/adapter/keyed_log.py
+++ b/tests/adapter/keyed_log.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store: a log of keyed records over HTTP, with faults."""
+"""A fake platform store: a log of keyed records over HTTP, with injectable faults."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class Topic:
-    """Records of one topic; the newest of each key are kept for good."""
+    """Records of one topic; the newest record of each key is always retained."""
 
     def __init__(self) -> None:
         self.first = 0
         self.records: list[tuple[str, bytes]] = []
         self.newest: dict[str, tuple[bytes, int]] = {}
-        self.news = asyncio.Condition()
+        self.changed = asyncio.Condition()
 
     @property
     def end(self) -> int:
@@ -26,7 +26,7 @@
         return self.first + len(self.records)
 
     def append(self, key: str, value: bytes) -> int:
-        """Add a record; one without a value drops its key."""
+        """Append a record and return its offset; an empty value removes the key."""
         offset = self.end
         self.records.append((key, value))
         if value:
@@ -36,8 +36,8 @@
         return offset
 
 
-class Door:
-    """Where one host reaches the log; with a fault the log turns just this host away.
+class LogEndpoint:
+    """The address at which one host reaches the log; a fault affects only this host.
 
     Faults: a status such as "503", "reset" for a closed connection, "silent" for no answer.
     """
@@ -46,7 +46,7 @@
         self.log = log
         self.fault = ""
         self.calls: dict[str, int] = {}
-        calls = [(r"/foldhoist/(log-[a-z]+)", _Call, {"door": self})]
+        calls = [(r"/foldhoist/(log-[a-z]+)", _Call, {"endpoint": self})]
         self._server = HTTPServer(Application(calls, log_function=lambda _: None))
         sockets = bind_sockets(0, "127.0.0.1")
         self._server.add_sockets(sockets)
@@ -58,7 +58,7 @@
 
 
 class KeyedLog:
-    """State of the stand-in; each host has a door of its own."""
+    """State of the fake store; each host has its own endpoint."""
 
     def __init__(self) -> None:
         self.topics: dict[str, Topic] = {}
@@ -66,50 +66,50 @@
         self.delay_s = 0.0
         self.lose_answers = 0
         self.calls: dict[str, int] = {}
-        self.doors: dict[str, Door] = {}
-        self.address = self.door("").address
+        self.endpoints: dict[str, LogEndpoint] = {}
+        self.address = self.endpoint("").address
 
-    def door(self, host: str) -> Door:
-        """Return the door of a host, opened at its first use."""
-        if host not in self.doors:
-            self.doors[host] = Door(self)
-        return self.doors[host]
+    def endpoint(self, host: str) -> LogEndpoint:
+        """Return the endpoint of a host, created at its first use."""
+        if host not in self.endpoints:
+            self.endpoints[host] = LogEndpoint(self)
+        return self.endpoints[host]
 
     def topic(self, name: str) -> Topic:
-        """Return a topic, made at its first use."""
+        """Return a topic, created at its first use."""
         return self.topics.setdefault(name, Topic())
 
     async def put(self, name: str, key: str, value: bytes) -> None:
-        """Write a record as somebody else."""
+        """Append a record as another writer."""
         topic = self.topic(name)
         topic.append(key, value)
-        async with topic.news:
-            topic.news.notify_all()
+        async with topic.changed:
+            topic.changed.notify_all()
 
     def forget(self, name: str) -> None:
-        """Drop the history of a topic; the newest records stay."""
+        """Drop the history of a topic; the newest record of each key stays."""
         topic = self.topic(name)
         topic.first = topic.end
         topic.records.clear()
 
     def close(self) -> None:
         """Stop listening."""
-        for door in self.doors.values():
-            door.close()
+        for endpoint in self.endpoints.values():
+            endpoint.close()
 
 
 class _Call(RequestHandler):
-    def initialize(self, door: Door) -> None:
-        self.door = door
-        self.log = door.log
+    def initialize(self, endpoint: LogEndpoint) -> None:
+        self.endpoint = endpoint
+        self.log = endpoint.log
 
     async def prepare(self) -> None:
         name = self.path_args[0]
-        for calls in (self.log.calls, self.door.calls):
+        for calls in (self.log.calls, self.endpoint.calls):
             calls[name] = calls.get(name, 0) + 1
         if self.log.delay_s:
             await asyncio.sleep(self.log.delay_s)
-        match "503" if self.log.down else self.door.fault:
+        match "503" if self.log.down else self.endpoint.fault:
             case "":
                 return
             case "reset":
@@ -139,8 +139,8 @@
         split = 1 + record[0]
         key, value = record[1:split].decode(), record[split:]
         offset = topic.append(key, value)
-        async with topic.news:
-            topic.news.notify_all()
+        async with topic.changed:
+            topic.changed.notify_all()
         if self.log.lose_answers:
             self.log.lose_answers -= 1
             self.request.connection.stream.close()  # type: ignore[union-attr]
@@ -166,8 +166,8 @@
 
 async def _wait(topic: Topic, wait_s: float) -> None:
     try:
-        async with asyncio.timeout(wait_s), topic.news:
-            await topic.news.wait()
+        async with asyncio.timeout(wait_s), topic.changed:
+            await topic.changed.wait()
     except TimeoutError:
         return
 
--- a/tests/adapter/target.py
+++ b/tests/adapter/target.py
@@ -1,4 +1,4 @@
-"""A stand-in for a target of the platform: answers, counts what it ran, misbehaves when told."""
+"""A fake platform target: answers requests, records them, and fails on demand."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Request(NamedTuple):
-    """A request as the target got it; header names are in small letters."""
+    """A request as the target received it; header names are in lower case."""
 
     method: str
     path: str
@@ -21,41 +21,41 @@
 
 
 class FakeTarget:
-    """One target; the fields say how it behaves."""
+    """One target; its attributes set its behaviour."""
 
     def __init__(self, service: str, instance: str) -> None:
         self.service = service
         self.instance = instance
         self.ran: list[Request] = []
-        self.turned_away = 0
+        self.rejected = 0
         self.cancelled = 0
         self.work_s = 0.0
         self.status = 200
         self.signed = True
-        self.surplus = False
+        self.extra_answer = False
         self.cut = False
         self.full = False
         self.pace = "100"
-        self.sampled = 0
+        self.health_requests = 0
         self.health_hangs = False
         self.gate: asyncio.Event | None = None
-        self.calls_on: Callable[[Request], Awaitable[int]] | None = None
-        self.deadly = ""
+        self.handler: Callable[[Request], Awaitable[int]] | None = None
+        self.crash_path = ""
         self.arrivals: list[float] = []
         self.cold_until = 0.0
-        self.bears_in_a_second = 0
-        self.lives_ended = 0
-        self.more_body = b""
+        self.max_calls_per_s = 0
+        self.crashes = 0
+        self.extra_body = b""
         self.address = ""
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen where it can listen again later."""
+        """Listen at an address that can be bound again after a crash."""
         await self._listen(int(reusable_address().rpartition(":")[2]))
         self.address = "{}:{}".format(*self._server.sockets[0].getsockname()[:2])
 
-    async def revive(self, instance: str) -> None:
-        """Start again after a crash, at the same address."""
+    async def restart(self, instance: str) -> None:
+        """Restart after a crash, at the same address."""
         self.instance = instance
         await self._listen(int(self.address.rpartition(":")[2]))
 
@@ -67,8 +67,8 @@
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port)
 
     def _crash(self) -> None:
-        """End as a process does that is killed: nothing listens, every connection is reset."""
-        self.lives_ended += 1
+        """Stop listening and reset every connection, as a killed process does."""
+        self.crashes += 1
         self.close()
         for writer in list(self._writers):
             writer.transport.abort()
@@ -79,7 +79,7 @@
             while True:
                 await self._one(reader, writer)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            pass  # The caller is gone, or the test is over.
+            pass  # The caller disconnected, or the test ended.
         finally:
             self._writers.discard(writer)
             writer.close()
@@ -92,11 +92,11 @@
         body = await reader.readexactly(int(headers.get("content-length", "0")))
         attempt = headers.get("x-attempt-id", "")
         if headers.get("x-expect-instance") != self.instance:
-            self.turned_away += path != "/health"
+            self.rejected += path != "/health"
             writer.write(_answer(421, attempt, b"", signed=False))
             return
         if path == "/health":
-            self.sampled += 1
+            self.health_requests += 1
             if self.health_hangs:
                 await asyncio.Event().wait()
             writer.write(_answer(200, "", b"", signed=False, more=self._health()))
@@ -106,33 +106,33 @@
             self._crash()
             raise ConnectionResetError
         if self.full:
-            self.turned_away += 1
+            self.rejected += 1
             writer.write(_answer(503, attempt, b"", signed=False, more="X-Not-Executed: 1\r\n"))
             return
         req = Request(method, path, headers, body)
         self.ran.append(req)
         await self._work(reader)
-        if path == self.deadly:
+        if path == self.crash_path:
             self._crash()
             raise ConnectionResetError
-        status = await self.calls_on(req) if self.calls_on is not None else self.status
+        status = await self.handler(req) if self.handler is not None else self.status
         if self.cut:
             writer.write(_answer(200, attempt, b"x" * 100)[:-50])
             writer.close()
             raise ConnectionResetError
-        if self.surplus:
+        if self.extra_answer:
             writer.write(_answer(200, "of-another", b"surplus"))
         more = self._load() if self.signed else ""
-        body = f"ran {path}".encode() + self.more_body
+        body = f"ran {path}".encode() + self.extra_body
         writer.write(_answer(status, attempt, body, signed=self.signed, more=more))
 
-    def turn_cold(self, for_s: float) -> None:
-        """Be cold from now on: more calls than it bears in a second end this life."""
+    def become_cold(self, for_s: float) -> None:
+        """Be cold for `for_s` seconds; more than `max_calls_per_s` in a second crash it then."""
         self.arrivals.clear()
         self.cold_until = asyncio.get_running_loop().time() + for_s
 
-    def most_in_a_second(self) -> int:
-        """Return the calls that arrived in the worst second, wherever that begins."""
+    def max_arrivals_in_a_second(self) -> int:
+        """Return the largest number of calls that arrived within any second."""
         return max((self._arrived_within(at) for at in self.arrivals), default=0)
 
     def _arrived_within(self, until: float) -> int:
@@ -140,13 +140,13 @@
 
     def _is_overloaded(self) -> bool:
         now = self.arrivals[-1]
-        if now >= self.cold_until or not self.bears_in_a_second:
+        if now >= self.cold_until or not self.max_calls_per_s:
             return False
-        return self._arrived_within(now) > self.bears_in_a_second
+        return self._arrived_within(now) > self.max_calls_per_s
 
     def _health(self) -> str:
-        left_s = max(0.0, self.cold_until - asyncio.get_running_loop().time())
-        return f"{self._load()}X-Cold-Ms: {left_s * 1000:.0f}\r\n"
+        remaining_s = max(0.0, self.cold_until - asyncio.get_running_loop().time())
+        return f"{self._load()}X-Cold-Ms: {remaining_s * 1000:.0f}\r\n"
 
     def _load(self) -> str:
         pace = f",{self.pace}" if self.pace else ""
@@ -156,14 +156,14 @@
         if self.gate is None:
             await asyncio.sleep(self.work_s)
             return
-        gone = asyncio.ensure_future(reader.read(1))
+        disconnected = asyncio.ensure_future(reader.read(1))
         done = asyncio.ensure_future(self.gate.wait())
-        await asyncio.wait((gone, done), return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait((disconnected, done), return_when=asyncio.FIRST_COMPLETED)
         done.cancel()
-        if gone.done():
+        if disconnected.done():
             self.cancelled += 1
             raise ConnectionResetError
-        gone.cancel()
+        disconnected.cancel()
 
 
 def _answer(status: int, attempt: str, body: bytes, signed: bool = True, more: str = "") -> bytes:
--- a/tests/adapter/test_crashes.py
+++ b/tests/adapter/test_crashes.py
@@ -1,99 +1,93 @@
-"""A call that ends each upstream that runs it is refused by all daemons after two of them.
-
-For 13 s callers at three hosts sent the same request 26 times. Each upstream that ran it ended
-within 50 to 120 ms, with all other calls at work there, and was back after three seconds. Of the
-four upstreams of the service all ended within 83 ms, then three, then four again: 11 in all, and
-between these times nothing was left to serve anybody. Logs showed nothing but
-`upstream-connection-lost`, for this call as for the 66 others that were lost with it. What a call
-had done was forgotten with the call: it was sent to a second upstream like any other that is lost,
-and the next one like it started anew, at every daemon.
+"""A call that crashes the upstreams that run it is refused by all daemons after two crashes.
+
+Guards against a repeated request that crashes every upstream of a service.
 """
 
 from __future__ import annotations
 
-from tests.adapter.cluster import Cluster, played, route, until
+from tests.adapter.cluster import Cluster, route, until, with_cluster
 
-DEADLY = "/a/deadly?page=5"
-"""What ends each upstream that runs it."""
+CRASH_PATH = "/a/deadly?page=5"
+"""Path that crashes every upstream that runs it."""
 HOSTS = 4
-"""Hosts of the service: two of its upstreams end before the call is known, others are left."""
+"""Hosts of the service; more than `MAX_CRASHES`, so that some upstreams keep running."""
 ROUNDS = 4
-"""Times that the call comes to each host."""
-MOST_ENDED = 2
-"""Upstreams that may end under a call that is sent again one after the other."""
+"""Number of times that the call is sent to each host."""
+MAX_CRASHES = 2
+"""Maximum number of upstreams that the call may crash when it is repeated one at a time."""
 
 
 async def start(cluster: Cluster) -> None:
-    """Start a service whose upstreams end under one call."""
+    """Start a service whose upstreams crash on `CRASH_PATH`."""
     for number in range(HOSTS):
         name = f"h{number}"
         await cluster.add(name, data_centre="one" if number % 2 else "two")
-        cluster.targets[name].deadly = DEADLY
+        cluster.targets[name].crash_path = CRASH_PATH
     await cluster.configure(1, [route(attempts=3)])
     await cluster.settle(1)
 
 
-async def revive(cluster: Cluster) -> None:
-    """Start the upstreams that have ended again, each with a name of its own."""
+async def restart(cluster: Cluster) -> None:
+    """Restart crashed upstreams, each with a new instance id."""
     for name, target in cluster.targets.items():
-        instance = f"i-{name}-{target.lives_ended}"
-        if target.lives_ended and target.instance != instance:
-            await target.revive(instance)
-            await cluster.beat(name)
+        instance = f"i-{name}-{target.crashes}"
+        if target.crashes and target.instance != instance:
+            await target.restart(instance)
+            await cluster.heartbeat(name)
             daemon = cluster.daemons[name]
             await until(lambda daemon=daemon: daemon.owner.load()["state"] == "warm")  # type: ignore[misc]
 
 
-def ended(cluster: Cluster) -> int:
-    """Return how many lives of upstreams have ended."""
-    return sum(target.lives_ended for target in cluster.targets.values())
+def crashes(cluster: Cluster) -> int:
+    """Return the number of crashes of all upstreams."""
+    return sum(target.crashes for target in cluster.targets.values())
 
 
-def ran(cluster: Cluster, path: str) -> int:
-    """Return how many upstreams have run a path."""
+def executions(cluster: Cluster, path: str) -> int:
+    """Return how often upstreams have run a path."""
     paths = [req.path for target in cluster.targets.values() for req in target.ran]
     return paths.count(path)
 
 
-@played
-async def test_a_call_that_ends_upstreams_is_refused_everywhere(cluster: Cluster) -> None:
+@with_cluster
+async def test_a_call_that_crashes_upstreams_is_refused_by_all_daemons(cluster: Cluster) -> None:
     await start(cluster)
     statuses = []
     for _ in range(ROUNDS):
         for name in cluster.daemons:
-            statuses.append((await cluster.ask(name, DEADLY)).status)
-            await revive(cluster)
-    assert ended(cluster) <= MOST_ENDED
-    assert ran(cluster, DEADLY) <= MOST_ENDED
+            statuses.append((await cluster.send(name, CRASH_PATH)).status)
+            await restart(cluster)
+    assert crashes(cluster) <= MAX_CRASHES
+    assert executions(cluster, CRASH_PATH) <= MAX_CRASHES
     assert statuses[-HOSTS:] == [503] * HOSTS
 
 
-@played
-async def test_other_calls_are_served_beside_it(cluster: Cluster) -> None:
-    """The same path with another query, and calls that were lost with an upstream, go on."""
+@with_cluster
+async def test_other_calls_are_served_meanwhile(cluster: Cluster) -> None:
+    """Calls to the same path with another query, and to another path, are answered."""
     await start(cluster)
     for _ in range(ROUNDS):
         for name in cluster.daemons:
-            await cluster.ask(name, DEADLY)
-            await revive(cluster)
-            assert (await cluster.ask(name, "/a/deadly?page=6")).status == 200
-            assert (await cluster.ask(name, "/a/1")).status == 200
-    assert ended(cluster) <= MOST_ENDED
+            await cluster.send(name, CRASH_PATH)
+            await restart(cluster)
+            assert (await cluster.send(name, "/a/deadly?page=6")).status == 200
+            assert (await cluster.send(name, "/a/1")).status == 200
+    assert crashes(cluster) <= MAX_CRASHES
 
 
-@played
-async def test_it_stays_refused_when_all_daemons_start_again(cluster: Cluster) -> None:
+@with_cluster
+async def test_the_call_stays_refused_after_all_daemons_restart(cluster: Cluster) -> None:
     await start(cluster)
     for name in cluster.daemons:
-        await cluster.ask(name, DEADLY)
-        await revive(cluster)
-    before = ended(cluster)
+        await cluster.send(name, CRASH_PATH)
+        await restart(cluster)
+    before = crashes(cluster)
     for daemon in cluster.daemons.values():
         await daemon.stop()
     for name in cluster.targets:
         await cluster.start_daemon(name)
-        await cluster.beat(name)
+        await cluster.heartbeat(name)
     await cluster.settle(1)
     for name in cluster.daemons:
-        assert (await cluster.ask(name, DEADLY)).status == 503
-    assert ended(cluster) == before <= MOST_ENDED
+        assert (await cluster.send(name, CRASH_PATH)).status == 503
+    assert crashes(cluster) == before <= MAX_CRASHES
--- a/tests/adapter/test_evacuation.py
+++ b/tests/adapter/test_evacuation.py
@@ -1,8 +1,6 @@
-"""An operator has a data centre evacuated: its upstreams get nothing until that is taken back.
+"""The upstreams of an evacuated data centre get no calls until the evacuation ends.
 
-On a day with evacuations 1,383 calls reached upstreams of the evacuated data centre later than 5 s
-after the store had taken the order: nobody read its record. When it was taken back, upstreams that
-had turned cold meanwhile got 24 calls in a second, where 20 are allowed.
+Guards against evacuations that daemons miss, and too many calls at cold upstreams afterwards.
 """
 
 from __future__ import annotations
@@ -10,59 +8,59 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from tests.adapter.cluster import WAIT_S, Cluster, played, route, two, until
+from tests.adapter.cluster import TIMEOUT_S, Cluster, route, start_two, until, with_cluster
 from tests.adapter.test_cold import ALLOWED_IN_A_SECOND, COLD, COLD_S, burst
 
 if TYPE_CHECKING:
     from tests.adapter.cluster import Answer
 
-IN_ROW = 8
-"""Calls at each host by which it is seen where calls go."""
+CALLS_PER_HOST = 8
+"""Calls at each host in one round."""
 ROUNDS = 5
-"""Times in a row that nothing comes to an upstream before it is taken for evacuated."""
+"""Consecutive rounds with the same upstreams after which they count as the only ones in use."""
 
 
 async def two_data_centres(cluster: Cluster) -> None:
-    """Start a slow upstream in one and a fast one in the other, which calls would go to."""
-    await two(cluster)
+    """Start a slow upstream in data centre one and a fast one, which calls prefer, in two."""
+    await start_two(cluster)
     cluster.targets["a"].work_s = 0.02
 
 
-async def asked(cluster: Cluster) -> list[Answer]:
-    """Call some times at each running host."""
+async def send_to_all(cluster: Cluster) -> list[Answer]:
+    """Send `CALLS_PER_HOST` calls at each running host."""
     answers: list[Answer] = []
     for name, daemon in cluster.daemons.items():
         if daemon.stopped.is_set():
             continue
-        answers += [await cluster.ask(name) for _ in range(IN_ROW)]
+        answers += [await cluster.send(name) for _ in range(CALLS_PER_HOST)]
     return answers
 
 
 async def served_by(cluster: Cluster) -> set[str]:
-    """Return whose upstreams run calls now; each of them must be answered."""
+    """Return the names of upstreams that run calls now; every call must be answered."""
     before = {name: len(target.ran) for name, target in cluster.targets.items()}
-    answers = await asked(cluster)
+    answers = await send_to_all(cluster)
     assert {answer.status for answer in answers} == {200}
     return {name for name, target in cluster.targets.items() if len(target.ran) > before[name]}
 
 
 async def until_served_by(cluster: Cluster, *names: str) -> None:
-    """Wait until calls run at these upstreams and no others, and go on to do so."""
+    """Wait until calls run at exactly these upstreams for `ROUNDS` rounds."""
     rounds = 0
-    async with asyncio.timeout(WAIT_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while rounds < ROUNDS:
             rounds = rounds + 1 if await served_by(cluster) == set(names) else 0
 
 
 async def until_served(cluster: Cluster, name: str) -> None:
-    """Wait until calls run at this upstream."""
-    async with asyncio.timeout(WAIT_S):
+    """Wait until calls run at this upstream, among others."""
+    async with asyncio.timeout(TIMEOUT_S):
         while name not in await served_by(cluster):
             await asyncio.sleep(0.01)
 
 
-@played
-async def test_an_evacuated_data_centre_gets_nothing_until_that_is_taken_back(
+@with_cluster
+async def test_an_evacuated_data_centre_gets_no_calls_until_the_evacuation_ends(
     cluster: Cluster,
 ) -> None:
     """Hosts there serve their callers through the other data centre."""
@@ -74,21 +72,21 @@
     await until_served(cluster, "b")
 
 
-@played
-async def test_it_outlasts_a_restart_while_the_store_is_away(cluster: Cluster) -> None:
+@with_cluster
+async def test_an_evacuation_outlasts_a_restart_while_the_store_is_down(cluster: Cluster) -> None:
     await two_data_centres(cluster)
     await cluster.evacuate("two")
     await until_served_by(cluster, "a")
     cluster.log.down = True
     await cluster.daemons["b"].stop()
     await cluster.start_daemon("b")
-    await cluster.beat("b")
+    await cluster.heartbeat("b")
     await cluster.settle(3)
     assert await served_by(cluster) == {"a"}
 
 
-@played
-async def test_one_that_was_ordered_or_ended_in_a_gap_of_the_history_is_seen(
+@with_cluster
+async def test_changes_of_an_evacuation_in_dropped_history_are_applied(
     cluster: Cluster,
 ) -> None:
     await two_data_centres(cluster)
@@ -104,8 +102,8 @@
     await until_served(cluster, "b")
 
 
-@played
-async def test_where_every_data_centre_is_evacuated_calls_are_refused_at_once(
+@with_cluster
+async def test_with_every_data_centre_evacuated_calls_are_refused(
     cluster: Cluster,
 ) -> None:
     await two_data_centres(cluster)
@@ -113,22 +111,22 @@
     await cluster.evacuate("two")
 
     async def statuses() -> set[int]:
-        return {answer.status for answer in await asked(cluster)}
+        return {answer.status for answer in await send_to_all(cluster)}
 
-    async with asyncio.timeout(WAIT_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while await statuses() != {503}:
             await asyncio.sleep(0.01)
     ran = sum(len(target.ran) for target in cluster.targets.values())
-    answers = await asked(cluster)
+    answers = await send_to_all(cluster)
     assert all("retry-after" in answer.headers for answer in answers)
     assert sum(len(target.ran) for target in cluster.targets.values()) == ran
 
 
-@played
-async def test_a_part_of_a_split_route_that_is_evacuated_is_refused_and_not_moved(
+@with_cluster
+async def test_the_evacuated_share_of_a_split_route_is_refused_not_moved(
     cluster: Cluster,
 ) -> None:
-    """The share of a part holds also while it has no room: the other part gets no more calls."""
+    """Calls of the evacuated service are refused; the other service gets only its own share."""
     await cluster.add("a")
     await cluster.add("b", service="parcels", data_centre="two")
     parts = [{"service": "shop", "weight": 50}, {"service": "parcels", "weight": 50}]
@@ -136,20 +134,20 @@
     await cluster.settle(3)
     await cluster.evacuate("two")
     answers: list[Answer] = []
-    async with asyncio.timeout(WAIT_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while not any(answer.status == 503 for answer in answers):
-            answers = await asked(cluster)
+            answers = await send_to_all(cluster)
     ran = len(cluster.targets["b"].ran)
-    answers = [answer for _ in range(ROUNDS) for answer in await asked(cluster)]
+    answers = [answer for _ in range(ROUNDS) for answer in await send_to_all(cluster)]
     served = sum(answer.status == 200 for answer in answers)
     assert {answer.status for answer in answers} == {200, 503}
     assert abs(served / len(answers) - 0.5) <= 0.2
     assert len(cluster.targets["b"].ran) == ran
 
 
-@played
-async def test_upstreams_that_are_back_are_cold_until_they_say_otherwise(cluster: Cluster) -> None:
-    """No announcement comes between the end of the evacuation and the first calls."""
+@with_cluster
+async def test_upstreams_are_cold_after_an_evacuation_until_they_announce(cluster: Cluster) -> None:
+    """No announcement arrives between the end of the evacuation and the first calls."""
     await cluster.add("a", service="web")
     await cluster.add("b", data_centre="two")
     await cluster.configure(3, [route()], **COLD)
@@ -157,26 +155,26 @@
     await cluster.evacuate("two")
 
     async def statuses() -> set[int]:
-        return {(await cluster.ask("a")).status for _ in range(IN_ROW)}
+        return {(await cluster.send("a")).status for _ in range(CALLS_PER_HOST)}
 
-    async with asyncio.timeout(WAIT_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while await statuses() != {503}:
             await asyncio.sleep(0.01)
     target = cluster.targets["b"]
-    target.bears_in_a_second = ALLOWED_IN_A_SECOND
-    target.turn_cold(COLD_S)
+    target.max_calls_per_s = ALLOWED_IN_A_SECOND
+    target.become_cold(COLD_S)
     await cluster.evacuate("two", b"")
-    async with asyncio.timeout(WAIT_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while not target.arrivals:
             await burst(cluster, ["a", "b"])
     for _ in range(3):
         await burst(cluster, ["a", "b"])
-    assert target.lives_ended == 0
-    assert target.most_in_a_second() <= ALLOWED_IN_A_SECOND
+    assert target.crashes == 0
+    assert target.max_arrivals_in_a_second() <= ALLOWED_IN_A_SECOND
 
 
-@played
-async def test_what_names_no_data_centre_or_cannot_be_read_changes_nothing(
+@with_cluster
+async def test_invalid_evacuations_are_ignored(
     cluster: Cluster,
 ) -> None:
     await two_data_centres(cluster)
--- a/tests/adapter/test_neighbours.py
+++ b/tests/adapter/test_neighbours.py
@@ -1,8 +1,6 @@
-"""Daemons that keep connections to some others only: all learn of all, at few calls to the store.
+"""Daemons that connect to only some peers know all others and make few calls to the store.
 
-Symptom: with 33 daemons, 552 calls to the store in 47 s. Each of 37 restarts read the list of
-daemons twice, wrote its record anew and read the configuration: three calls or more, though the
-record still held and any peer had the configuration.
+Guards against restarts that reread or rewrite in the store what is unchanged or known to peers.
 """
 
 from __future__ import annotations
@@ -16,10 +14,10 @@
 from foldhoist.routing.rendezvous import ranked
 from tests.adapter.cluster import Cluster, route, until
 
-CENTRES = ("one", "two", "three")
+DATA_CENTRES = ("one", "two", "three")
 
 
-def everyone_knows(cluster: Cluster) -> bool:
+def all_know_all(cluster: Cluster) -> bool:
     names = set(cluster.daemons)
     return all(
         {*daemon.registry.peers, name} == names
@@ -29,44 +27,44 @@
     )
 
 
-async def started(cluster: Cluster, each: int) -> None:
-    """Start so many daemons in each data centre."""
-    for centre in CENTRES:
+async def start(cluster: Cluster, each: int) -> None:
+    """Start `each` daemons in every data centre."""
+    for data_centre in DATA_CENTRES:
         for number in range(each):
-            await cluster.add(f"{centre}{number}", data_centre=centre)
+            await cluster.add(f"{data_centre}{number}", data_centre=data_centre)
     await cluster.configure(3, [route()])
-    await until(lambda: everyone_knows(cluster))
+    await until(lambda: all_know_all(cluster))
 
 
 @pytest.fixture
-def few(monkeypatch: pytest.MonkeyPatch) -> None:
+def few_links(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(neighbours, "MIN_REMOTE", 1)
     monkeypatch.setattr(neighbours, "MIN_TRACKED", 1)
     monkeypatch.setattr(neighbours, "RELAYS_PER_DATA_CENTRE", 1)
 
 
-def test_a_newcomer_is_known_to_all_though_it_is_connected_with_some(few: None) -> None:
+def test_a_new_daemon_is_known_to_all_but_connected_to_some(few_links: None) -> None:
     async def run() -> None:
         async with Cluster() as cluster:
-            await started(cluster, 3)
+            await start(cluster, 3)
             await cluster.add("two9", data_centre="two")
-            await until(lambda: everyone_knows(cluster))
+            await until(lambda: all_know_all(cluster))
             links = [len(daemon.links.connected()) for daemon in cluster.daemons.values()]
             assert max(links) < len(cluster.daemons) - 1
             for name in cluster.daemons:
-                assert (await cluster.ask(name)).status == 200
+                assert (await cluster.send(name)).status == 200
 
     asyncio.run(run())
 
 
-def test_one_that_starts_again_while_the_store_is_silent_learns_of_all_from_peers(
-    few: None,
+def test_a_daemon_restarted_without_the_store_learns_from_peers(
+    few_links: None,
 ) -> None:
     async def run() -> None:
         async with Cluster() as cluster:
-            await started(cluster, 3)
+            await start(cluster, 3)
             await cluster.daemons["one1"].stop()
-            cluster.log.door("one1").fault = "silent"
+            cluster.log.endpoint("one1").fault = "silent"
             await cluster.start_daemon("one1")
             await until(lambda: set(cluster.daemons["one1"].registry.peers) >= {"two0", "three2"})
             await until(lambda: cluster.daemons["one1"].versions.version.number == 3)
@@ -74,47 +72,45 @@
     asyncio.run(run())
 
 
-def test_a_restart_costs_the_store_one_call() -> None:
+def test_a_restart_makes_one_call_to_the_store() -> None:
     async def run() -> None:
         async with Cluster() as cluster:
-            await started(cluster, 4)
+            await start(cluster, 4)
             names = [name for name in cluster.daemons if name.startswith("one")]
             name = ranked(names, "readers")[READERS]
             await cluster.daemons[name].stop()
-            before = dict(cluster.log.door(name).calls)
+            before = dict(cluster.log.endpoint(name).calls)
             await cluster.start_daemon(name)
-            await cluster.beat(name)
-            await until(lambda: everyone_knows(cluster))
-            assert (await cluster.ask(name)).status == 200
-            after = cluster.log.door(name).calls
-            made = {kind: after[kind] - before.get(kind, 0) for kind in after}
-            assert {kind: count for kind, count in made.items() if count} == {"log-newest": 1}
+            await cluster.heartbeat(name)
+            await until(lambda: all_know_all(cluster))
+            assert (await cluster.send(name)).status == 200
+            after = cluster.log.endpoint(name).calls
+            calls = {kind: after[kind] - before.get(kind, 0) for kind in after}
+            assert {kind: count for kind, count in calls.items() if count} == {"log-newest": 1}
 
     asyncio.run(run())
 
 
-def test_a_record_that_does_not_hold_any_more_is_written_anew() -> None:
+def test_an_outdated_record_is_rewritten() -> None:
     async def run() -> None:
         async with Cluster() as cluster:
-            await started(cluster, 2)
+            await start(cluster, 2)
             await cluster.daemons["one0"].stop()
-            cluster.places["one0"] = "two"
+            cluster.data_centres["one0"] = "two"
             await cluster.start_daemon("one0")
-            await cluster.beat("one0")
-            kept = cluster.log.topic("keyed.daemons").newest
-            await until(lambda: b'"two"' in kept["one0"][0])
+            await cluster.heartbeat("one0")
+            records = cluster.log.topic("keyed.daemons").newest
+            await until(lambda: b'"two"' in records["one0"][0])
 
     asyncio.run(run())
 
 
-def test_a_link_that_nobody_wants_is_closed_when_it_carries_no_call(
-    monkeypatch: pytest.MonkeyPatch, few: None
-) -> None:
+def test_an_unwanted_idle_link_is_closed(monkeypatch: pytest.MonkeyPatch, few_links: None) -> None:
     monkeypatch.setattr("foldhoist.daemon.links.UNWANTED_CLOSE_S", 0.0)
 
     async def run() -> None:
         async with Cluster() as cluster:
-            await started(cluster, 2)
+            await start(cluster, 2)
             daemon = cluster.daemons["one0"]
             extra = next(n for n in daemon.registry.peers if n not in daemon.registry.wanted(0.0))
             daemon.links.connect([extra])
@@ -125,38 +121,34 @@
     asyncio.run(run())
 
 
-def test_a_configuration_crosses_to_a_data_centre_that_the_store_turns_away(few: None) -> None:
-    """It goes by a connection that only one of both daemons opened, and is asked for once.
-
-    With content sent unasked, a restart got it from each peer: 34 copies from other data centres
-    at 195 daemons.
-    """
+def test_a_configuration_reaches_a_data_centre_without_the_store(few_links: None) -> None:
+    """It also reaches a daemon that restarts there."""
 
     async def run() -> None:
         async with Cluster() as cluster:
-            await started(cluster, 3)
-            turned_away = [name for name in cluster.daemons if name.startswith("one")]
-            for name in turned_away:
-                cluster.log.door(name).fault = "503"
+            await start(cluster, 3)
+            unreachable = [name for name in cluster.daemons if name.startswith("one")]
+            for name in unreachable:
+                cluster.log.endpoint(name).fault = "503"
             await cluster.configure(4, [route()])
-            await cluster_has(cluster, 4)
-            await cluster.daemons[turned_away[0]].stop()
-            await cluster.start_daemon(turned_away[0])
-            await cluster_has(cluster, 4)
+            await wait_version(cluster, 4)
+            await cluster.daemons[unreachable[0]].stop()
+            await cluster.start_daemon(unreachable[0])
+            await wait_version(cluster, 4)
 
     asyncio.run(run())
 
 
-def test_a_leaving_is_told_to_ingresses_of_other_data_centres(few: None) -> None:
+def test_a_leaving_is_reported_to_ingresses_of_other_data_centres(few_links: None) -> None:
     async def run() -> None:
         async with Cluster() as cluster:
-            await started(cluster, 3)
+            await start(cluster, 3)
             daemons = cluster.daemons
             name, ingress = next(
                 (name, other)
                 for other, daemon in daemons.items()
                 for name in daemon.registry.wanted(0.0)
-                if cluster.places[name] != cluster.places[other]
+                if cluster.data_centres[name] != cluster.data_centres[other]
             )
             await until(lambda: daemons[ingress].links.is_up(name))
             await cluster.leave(name)
@@ -166,6 +158,6 @@
     asyncio.run(run())
 
 
-async def cluster_has(cluster: Cluster, version: int) -> None:
+async def wait_version(cluster: Cluster, version: int) -> None:
     daemons = cluster.daemons.values()
     await until(lambda: all(daemon.versions.version.number == version for daemon in daemons))
--- a/tests/adapter/test_others_write.py
+++ b/tests/adapter/test_others_write.py
@@ -1,4 +1,4 @@
-"""Targets that start again under their id, and what writers of other kinds send and store."""
+"""Invalid heartbeats, records and configurations, and targets restarted under their id."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from foldhoist.membership.registry import registration_of
 from foldhoist_adapter.configuration import translate
 from foldhoist_adapter.endpoints import _HEARTBEATS, _announcement
-from tests.adapter.cluster import Cluster, call, played, two, until
+from tests.adapter.cluster import Cluster, call, start_two, until, with_cluster
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -50,11 +50,11 @@
     st.lists(st.integers(), max_size=2),
     st.dictionaries(st.text(max_size=3), st.integers(), max_size=2),
 )
-"""What may stand in any place: other types, numbers beyond bounds, very long texts."""
+"""Invalid values for any field: other types, numbers out of range, very long texts."""
 
 
 def places(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
-    """Yield the way to each part of a document."""
+    """Yield the path of each value in a document, the document itself first."""
     yield path
     match value:
         case dict():
@@ -66,7 +66,7 @@
 
 
 def changed(value: Any, path: tuple[Any, ...], odd: Any, drop: bool) -> Any:
-    """Return a document with another part in one place, or without it."""
+    """Return a copy of a document with the value at a path replaced, or removed if `drop`."""
     if not path:
         return odd
     copy = dict(value) if isinstance(value, dict) else list(value)
@@ -78,7 +78,7 @@
 
 
 def odd_ones(document: Any) -> st.SearchStrategy[bytes]:
-    """Return good documents that were changed in one place, and bytes that cannot be read."""
+    """Return a strategy of valid documents changed at one path, and of arbitrary bytes."""
     texts = st.builds(
         lambda path, odd, drop: json.dumps(changed(document, path, odd, drop)).encode(),
         st.sampled_from(list(places(document))),
@@ -128,8 +128,8 @@
 
 @pytest.mark.parametrize("name", ["i-1%0d%0aX-Evil:%201", "i%201", "i" * 201, "%ff"])
 @pytest.mark.parametrize("method", ["PUT", "DELETE"])
-def test_a_name_that_is_none_is_refused(name: str, method: str) -> None:
-    @played
+def test_an_invalid_instance_name_is_refused(name: str, method: str) -> None:
+    @with_cluster
     async def test(cluster: Cluster) -> None:
         await cluster.add("a")
         daemon = cluster.daemons["a"]
@@ -143,9 +143,9 @@
     test()
 
 
-@played
-async def test_what_others_send_leaves_the_upstream_in_its_place(cluster: Cluster) -> None:
-    await two(cluster)
+@with_cluster
+async def test_invalid_heartbeats_do_not_replace_the_upstream(cluster: Cluster) -> None:
+    await start_two(cluster)
     daemon = cluster.daemons["a"]
     faults = (
         {"info": {"service": "shop", "slots": "many"}, "status": BEAT["status"]},
@@ -161,12 +161,12 @@
         assert answer.status == 400
         assert name in answer.body.decode()
     assert daemon.upstream.count.passed_over == len(faults)
-    assert (await cluster.ask("a")).status == 200
+    assert (await cluster.send("a")).status == 200
 
 
-@played
-async def test_records_of_others_name_no_daemon(cluster: Cluster) -> None:
-    await two(cluster)
+@with_cluster
+async def test_invalid_records_are_ignored(cluster: Cluster) -> None:
+    await start_two(cluster)
     for key, value in (
         ("z", b"\xff\xfe"),
         ("y", b'["x","l","x:1","one"]'),
@@ -179,27 +179,27 @@
     assert set(daemon.registry.peers) == {"b"}
 
 
-@played
-async def test_a_target_that_starts_again_under_its_id_serves_again(cluster: Cluster) -> None:
-    await two(cluster)
+@with_cluster
+async def test_a_target_restarted_under_its_id_serves_again(cluster: Cluster) -> None:
+    await start_two(cluster)
     for born, state in ((1000, "ready"), (1000, "draining")):
-        await beat(cluster, born, state, sequence=50 + (state == "draining"))
+        await heartbeat(cluster, born, state, sequence=50 + (state == "draining"))
     await until(lambda: state_at_b(cluster) == "leaving")
-    await beat(cluster, 9000, "ready", sequence=1)
+    await heartbeat(cluster, 9000, "ready", sequence=1)
     await until(lambda: state_at_b(cluster) == "ready")
     cluster.targets["b"].full = True
-    assert (await cluster.ask("b")).status == 200
+    assert (await cluster.send("b")).status == 200
     assert cluster.targets["a"].ran
 
 
 def state_at_b(cluster: Cluster) -> str:
-    """Return what daemon b has heard of the upstream beside a."""
+    """Return the state of the upstream of daemon a as daemon b knows it."""
     upstream = cluster.daemons["b"].registry.peers["a"].upstream
     return upstream["state"] if upstream is not None else ""
 
 
-async def beat(cluster: Cluster, born: int, state: str, sequence: int) -> None:
-    """Send a heartbeat of target a, with its start."""
+async def heartbeat(cluster: Cluster, born: int, state: str, sequence: int) -> None:
+    """Send a heartbeat of target a with its start time in milliseconds."""
     status = {"state": state, "sequence": sequence, "cold_remaining_s": 0}
     body = {"info": {"service": "shop", "slots": 4}, "status": status, "born": born}
     address = cluster.daemons["a"].addresses["control"]
--- a/tests/adapter/test_process.py
+++ b/tests/adapter/test_process.py
@@ -1,4 +1,4 @@
-"""A daemon on an adapter as a process of its own: signals, and settings that change."""
+"""A daemon on the adapter in a separate process: signals and reloaded settings."""
 
 from __future__ import annotations
 
@@ -9,38 +9,38 @@
 import sys
 from typing import TYPE_CHECKING
 
-from tests.adapter.cluster import SETTINGS, WAIT_S, Cluster, call, route
+from tests.adapter.cluster import SETTINGS, TIMEOUT_S, Cluster, call, route
 
 if TYPE_CHECKING:
     from pathlib import Path
 
-ROOT_PATHS = os.pathsep.join(["platform", "."])
+PYTHON_PATH = os.pathsep.join(["platform", "."])
 
 
 class Process:
-    """One daemon process; its lines are kept."""
+    """One daemon process; its log is read from standard error."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.addresses: dict[str, str] = {}
 
     async def start(self) -> None:
-        """Start it and wait until it listens."""
+        """Start the process and wait until it listens."""
         self.process = await asyncio.create_subprocess_exec(
             *(sys.executable, "-m", "foldhoist", "daemon", str(self.path)),
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
-            env={**os.environ, "PYTHONPATH": ROOT_PATHS},
+            env={**os.environ, "PYTHONPATH": PYTHON_PATH},
         )
         assert self.process.stdout is not None
-        async with asyncio.timeout(WAIT_S):
+        async with asyncio.timeout(TIMEOUT_S):
             line = await self.process.stdout.readline()
         self.addresses = json.loads(line)["addresses"]
 
     async def line_with(self, text: str) -> str:
-        """Wait for a log line that holds a text, and return it."""
+        """Return the next log line that contains a text."""
         assert self.process.stderr is not None
-        async with asyncio.timeout(WAIT_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
                 line = (await self.process.stderr.readline()).decode()
                 assert line, "the process has ended"
@@ -48,16 +48,16 @@
                     return line
 
     async def end(self) -> int:
-        """Stop it as planned and return its code."""
+        """Stop the process with SIGTERM and return its exit code."""
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
-        async with asyncio.timeout(WAIT_S):
+        async with asyncio.timeout(TIMEOUT_S):
             await self.process.communicate()
         assert self.process.returncode is not None
         return self.process.returncode
 
 
-def test_a_daemon_reads_changed_settings_when_told_and_keeps_them_if_they_have_faults(
+def test_a_daemon_reloads_settings_on_sighup_and_keeps_them_on_faults(
     tmp_path: Path,
 ) -> None:
     async def run() -> None:
--- a/tests/adapter/test_reload.py
+++ b/tests/adapter/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings that a running daemon takes over, and the bound on bodies that they set."""
+"""Settings that a running daemon reloads, and the limit of body memory that they set."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from foldhoist.admission.body_memory import SMALL_BODY_BYTES
 from foldhoist.routing.policies import Mixed, TwoChoices
-from tests.adapter.cluster import Cluster, played, request_bytes, route, two, until
+from tests.adapter.cluster import Cluster, request_bytes, route, start_two, until, with_cluster
 
 
-@played
-async def test_upstreams_are_chosen_by_the_policy_of_the_settings(cluster: Cluster) -> None:
-    await two(cluster)
+@with_cluster
+async def test_the_routing_policy_comes_from_the_settings(cluster: Cluster) -> None:
+    await start_two(cluster)
     pickers = cluster.daemons["a"].ingress_task.ingress.pickers
     assert isinstance(pickers()["shop"].policy, Mixed)
     cluster.daemons["a"].cfg["platform"]["policy"] = "two-choices"
@@ -21,30 +21,30 @@
     assert isinstance(pickers()["shop"].policy, TwoChoices)
 
 
-@played
-async def test_settings_that_change_are_in_force_without_a_restart(cluster: Cluster) -> None:
-    await two(cluster)
+@with_cluster
+async def test_reloaded_settings_apply_without_a_restart(cluster: Cluster) -> None:
+    await start_two(cluster)
     daemon = cluster.daemons["a"]
     cfg = copy.deepcopy(daemon.cfg)
     cfg["limits"]["calls"] = 7
     cfg["limits"]["drain_ms"] = 9
     cfg["platform"]["retry_slack"] = 5000
     cfg["observe"]["log_share"] = 0.5
-    budget = daemon.ingress_task.ingress._services.get("shop")
-    assert budget is not None
-    before = budget.budget.cap
+    service = daemon.ingress_task.ingress._services.get("shop")
+    assert service is not None
+    before = service.budget.cap
     daemon.reload(cfg)
     assert daemon.ingress_task.ingress.admission.max_calls == 7
     assert daemon.cfg["limits"]["drain_ms"] == 9
     assert daemon.events.share == 0.5
-    assert budget.budget.cap > 100 * before
+    assert service.budget.cap > 100 * before
 
 
-@played
-async def test_bodies_that_are_still_arriving_are_bounded_also_after_a_reload(
+@with_cluster
+async def test_body_memory_of_arriving_bodies_is_limited_after_a_reload(
     cluster: Cluster,
 ) -> None:
-    await two(cluster)
+    await start_two(cluster)
     daemon = cluster.daemons["a"]
     limits = {**daemon.cfg["limits"], "held_bytes": SMALL_BODY_BYTES}
     daemon.reload({**daemon.cfg, "limits": limits})  # type: ignore[typeddict-item]
@@ -56,11 +56,11 @@
         writer.write(part)
         writers.append(writer)
     await until(lambda: daemon.callers.bodies.used == 999 * len(writers))
-    refused = await cluster.ask("a", method="POST", body=b"x" * 999)
+    refused = await cluster.send("a", method="POST", body=b"x" * 999)
     assert refused.status == 503
     assert float(refused.headers["retry-after"]) == 1.0
-    assert (await cluster.ask("a")).status == 200
+    assert (await cluster.send("a")).status == 200
     for writer in writers:
         writer.close()
     await until(lambda: daemon.callers.bodies.used == 0)
-    assert (await cluster.ask("a", method="POST", body=b"x" * 999)).status == 200
+    assert (await cluster.send("a", method="POST", body=b"x" * 999)).status == 200
--- a/tests/adapter/test_repeats.py
+++ b/tests/adapter/test_repeats.py
@@ -1,12 +1,6 @@
-"""Repeats along services that call each other stay within the retry budget of the platform.
-
-Symptom: a service got more arrivals beyond the first of their request than a fifth of its requests
-and the slack.
-Sequence: targets of the last service fail, so those that call it answer 500 and are sent the
-request again; each such run makes its calls again.
-Cause: a target does not say which of its runs a call is a part of, so calls of a repeated run were
-taken for first ones: they earned further attempts and were repeated themselves.
-Figures before the mend: 300 requests at each of 3 services, 30, 63 and 99 repeats, 80 allowed.
+"""Repeats along services that call each other stay within the retry budget.
+
+Guards against calls of a repeated execution that count as new ones and are retried themselves.
 """
 
 from __future__ import annotations
@@ -16,35 +10,35 @@
 from itertools import count
 from typing import TYPE_CHECKING
 
-from tests.adapter.cluster import Cluster, played, route
+from tests.adapter.cluster import Cluster, route, with_cluster
 
 if TYPE_CHECKING:
     from tests.adapter.target import Request
 
 SERVICES = ("shop", "stock", "prices")
-"""Targets of each call the next one."""
+"""Services; targets of each one call the next."""
 HOSTS = 2
 """Hosts of each service."""
 REQUESTS = 300
-"""Requests that clients send."""
+"""Number of requests of the clients."""
 AT_ONCE = 4
-"""Requests that are under way at a time."""
-SHARE = 0.2
-"""Repeats that the platform allows, as a share of requests."""
+"""Number of concurrent requests."""
+REPEAT_SHARE = 0.2
+"""Allowed repeats as a share of requests."""
 SLACK = 20
-"""Repeats that it allows beside these, as the settings of the daemons have it."""
+"""Allowed repeats in addition to that share."""
 
 
 class Chain:
-    """What the targets of each service saw, and which calls were parts of repeats."""
+    """Counts the requests and repeats at each service of a chain."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
         self.ids = count(1)
         self.seen: dict[str, set[str]] = {service: set() for service in SERVICES}
-        self.asked = dict.fromkeys(SERVICES, 0)
+        self.requests = dict.fromkeys(SERVICES, 0)
         self.repeats = dict.fromkeys(SERVICES, 0)
-        self.inherited: set[str] = set()
+        self.from_repeats: set[str] = set()
 
     async def start(self) -> None:
         """Start all services; the targets of the last one fail."""
@@ -52,24 +46,24 @@
             for host in range(HOSTS):
                 await self.cluster.add(f"{service}-{host}", service)
         for name, target in self.cluster.targets.items():
-            target.calls_on = partial(self.run, name, target.service)
+            target.handler = partial(self.run, name, target.service)
         prefixes = [route(f"/{service}/", service, attempts=3) for service in SERVICES]
         await self.cluster.configure(1, prefixes)
         await self.cluster.settle(1)
 
     async def call(self, name: str, service: str, repeat: bool) -> int:
-        """Send a call at a host; returns its status."""
+        """Send a call at a host and return its status."""
         attempt = f"{next(self.ids):08x}"
         if repeat:
-            self.inherited.add(attempt)
+            self.from_repeats.add(attempt)
         else:
-            self.asked[service] += 1
-        return (await self.cluster.ask(name, f"/{service}/x", attempt=attempt)).status
+            self.requests[service] += 1
+        return (await self.cluster.send(name, f"/{service}/x", attempt=attempt)).status
 
     async def run(self, name: str, service: str, req: Request) -> int:
-        """Do the work of a target; returns the status of its answer."""
+        """Run a request at a target and return the status of the answer."""
         attempt = req.headers["x-attempt-id"]
-        repeat = attempt in self.inherited or attempt in self.seen[service]
+        repeat = attempt in self.from_repeats or attempt in self.seen[service]
         self.seen[service].add(attempt)
         self.repeats[service] += repeat
         at = SERVICES.index(service) + 1
@@ -78,8 +72,10 @@
         return 200 if await self.call(name, SERVICES[at], repeat) == 200 else 500
 
 
-@played
-async def test_calls_of_repeated_runs_are_paid_for_where_they_arrive(cluster: Cluster) -> None:
+@with_cluster
+async def test_calls_of_repeated_executions_count_against_the_retry_budget(
+    cluster: Cluster,
+) -> None:
     chain = Chain(cluster)
     await chain.start()
     names = list(cluster.daemons)
@@ -92,4 +88,6 @@
     await asyncio.gather(*(client() for _ in range(AT_ONCE)))
     assert chain.repeats[SERVICES[0]]
     for service in SERVICES:
-        assert chain.repeats[service] <= SHARE * chain.asked[service] + SLACK, chain.repeats
+        assert chain.repeats[service] <= REPEAT_SHARE * chain.requests[service] + SLACK, (
+            chain.repeats
+        )
