--- a/foldhoist/commands/explain.py
+++ b/foldhoist/commands/explain.py
@@ -15,7 +15,7 @@
 
 REASONS = {
     "least-cost": "it had the lowest expected time",
-    "only-one-open": "no other upstream accepted new calls",
+    "only-one-open": "no other upstream was available for the call",
     "only-ejected-left": "only upstreams ejected for errors or slowness were left",
     "trial": "it was ejected, and one call tests whether it has recovered",
     "home-of-the-key": "every call with this idempotency key goes there",
@@ -90,14 +90,14 @@
     return {"trace": trace, "parts": parts, "silent": no_answer}
 
 
-def format_records(told: dict[str, Any]) -> str:
+def format_records(collected: dict[str, Any]) -> str:
     """Return the collected records as text."""
-    lines = [f"call {told['trace']}"]
-    hops = {hop["seq"]: hop for part in told["parts"] for hop in part["hops"]}
-    for part in told["parts"]:
+    lines = [f"call {collected['trace']}"]
+    hops = {hop["seq"]: hop for part in collected["parts"] for hop in part["hops"]}
+    for part in collected["parts"]:
         for call in part["calls"]:
             lines += _call_lines(part["daemon"], call, hops)
-    for address in told["silent"]:
+    for address in collected["silent"]:
         lines.append(f"no answer from the daemon at {address}: its records are missing")
     return "\n".join(lines)
 
