--- a/foldhoist/delivery/keys.py
+++ b/foldhoist/delivery/keys.py
@@ -1,7 +1,8 @@
-"""Idempotency keys at their home: each key runs at most once within its window.
+"""Idempotency keys at their home: a call with a key runs at most once within the key's window.
 
-A home runs a key only if it knows every run of that key since the key was issued. Otherwise it
-refuses, and states whether the key may have run before. See docs/design/at-most-once.md.
+The home of a key is the target that rendezvous hashing selects for it. A home runs a call only if
+it knows every run with that key since the key was issued. Otherwise it refuses the call, and states
+whether one with the key may have run before. See docs/design/at-most-once.md.
 """
 
 from __future__ import annotations
@@ -107,12 +108,12 @@
         return max(self._own_since_ms, self._moved_since_ms)
 
     def adopt(
-        self, wall_ms: int, generation: int, serving: Iterable[str], others: Iterable[str]
+        self, wall_ms: int, generation: int, serving: Iterable[str], targets: Iterable[str]
     ) -> frozenset[str]:
         """Apply a generation; returns the targets that must hand over their keys first.
 
         A generation that is not newer is ignored and returns none. `serving` are the targets that
-        may be homes, `others` all that are not retired; this home may be among them.
+        may be homes, `targets` all that are not retired; this home may be among them.
         """
         names = frozenset(serving)
         followed = generation == self.generation + 1 and self._names is not None
@@ -120,18 +121,18 @@
             return frozenset()
         self.generation = generation
         if followed and names == self._names:
-            self._pending &= set(others)
+            self._pending &= set(targets)
             return frozenset(self._pending)
         self._own_since_ms = self.since_ms
         self._former_names = self._names if followed else None
         if not followed:
             self._own_since_ms = wall_ms
         self._moved_since_ms = self._own_since_ms
-        gone = (self._names or frozenset()) - set(others)
+        gone = (self._names or frozenset()) - set(targets)
         if gone:
             self._moved_since_ms = wall_ms
         self._names = names
-        self._pending = set(others) - {self.name}
+        self._pending = set(targets) - {self.name}
         return frozenset(self._pending)
 
     def handed(self, now: float, message: Handed) -> None:
