--- a/foldhoist/delivery/call.py
+++ b/foldhoist/delivery/call.py
@@ -259,7 +259,7 @@
             )
         return self.cached_identity
 
-    def note(
+    def add_attempt(
         self, now: float, attempt: PendingAttempt, result: str, waited_us: int, served_us: int
     ) -> None:
         """Add an attempt with its result to the record."""
--- a/foldhoist/delivery/ingress.py
+++ b/foldhoist/delivery/ingress.py
@@ -118,7 +118,7 @@
         call, attempt, picker = ended
         if picker is not None:
             rules.report_answer(now, picker, call, attempt, message)
-        call.note(now, attempt, "answered", message["waited_us"], message["served_us"])
+        call.add_attempt(now, attempt, "answered", message["waited_us"], message["served_us"])
         response = Response(message["status"], message["headers"], message["body"])
         failed = response.status >= rules.SERVER_ERROR
         if failed and call.repeatable and not call.req.key:
@@ -134,7 +134,7 @@
         call, attempt, picker = ended
         if picker is not None:
             rules.report_refusal(now, picker, call, attempt, message)
-        call.note(now, attempt, f"{message['ran']}:{message['reason']}", 0, 0)
+        call.add_attempt(now, attempt, f"{message['ran']}:{message['reason']}", 0, 0)
         if message["ran"] == "maybe":
             call.may_have_run_reason = message["reason"]
         elif message.get("reached", False):
@@ -340,7 +340,7 @@
         if self._calls.remove(call.call_id) is None:
             return []
         for attempt in call.pending.values():
-            call.note(now, attempt, "withdrawn", 0, 0)
+            call.add_attempt(now, attempt, "withdrawn", 0, 0)
         self.count.ended(verdict)
         self.gate.ended(now, call, ran=not isinstance(verdict, NotRun))
         reply = Reply(call.call_id, verdict, make_record(call, now, verdict, self.generation))
@@ -389,5 +389,5 @@
         if state is not None:
             state.picker.lost(attempt.target, attempt.seq, now)
         call.may_have_run_reason = reason
-        call.note(now, attempt, f"maybe:{reason}", 0, 0)
+        call.add_attempt(now, attempt, f"maybe:{reason}", 0, 0)
         return self._retry(now, call, reason, 0.5)
