--- a/foldhoist/configlog/spread.py
+++ b/foldhoist/configlog/spread.py
@@ -86,8 +86,8 @@
 
     def next_peer(self, now: float) -> str | None:
         """Return the peer to ask now, or None if there is none."""
-        anybody = self._rng.random() < RANDOM_PEER_SHARE
-        names = self.role.others if anybody else self.role.preferred
+        ask_random = self._rng.random() < RANDOM_PEER_SHARE
+        names = self.role.others if ask_random else self.role.preferred
         candidates = self._not_silent(names, now) or self._not_silent(self.role.others, now)
         if not candidates:
             candidates = [*self.role.others]
--- a/foldhoist/customers/quota_server.py
+++ b/foldhoist/customers/quota_server.py
@@ -23,7 +23,7 @@
 INITIAL_SLACK_SHARE = 0.15
 """Share of the slack that a bucket starts with, since earlier grants by others are unknown.
 
-Several servers may start a bucket of the same quota within one window.
+A part only, as several servers may start a bucket of the same quota within one window.
 """
 STALL_S = 0.3
 """A longer gap in activity is a stall, seconds: the server gains no credit for that time.
@@ -104,7 +104,10 @@
 
 
 class QuotaServer:
-    """Grants credit of the quotas that this host serves; `now` is in monotonic seconds."""
+    """Grants credit of the quotas that this host serves; `now` is in monotonic seconds.
+
+    `slack` is how many calls beyond its quota a customer may run in a window, at all hosts.
+    """
 
     def __init__(self, name: str, slack: float = 0.0) -> None:
         self.name = name
