--- a/foldhoist/commands/drain.py
+++ b/foldhoist/commands/drain.py
@@ -9,7 +9,7 @@
 
 
 def drain(daemon: str, *, json: bool = False) -> int:
-    """Make a daemon take no new calls, finish those in flight, and exit.
+    """Stop a daemon: refuse calls to its upstream, serve callers until those in flight end, exit.
 
     :param daemon: Operators address of the daemon, as IP:port.
     :param json: Print JSON.
