--- a/foldhoist/delivery/call.py
+++ b/foldhoist/delivery/call.py
@@ -27,8 +27,10 @@
 
     `parent_rank` is the most common rank of the calls that ran at this host's upstream when the
     request came; the request belongs to one of them if that upstream sent it. `retried` says
-    whether the parent call was a repeat, None if the caller does not say; `parent_repeat` is then
-    the share of repeats among the calls of this host's upstream, 0 to 1. `caller` is the service of
+    whether the parent call was a repeat, as the request's header `Foldhoist-Retry` states: False
+    without the header, None on a platform that has no such header. `parent_repeat`, used only for
+    None, is the share of repeats among the calls recently started at this host's upstream, 0 to 1,
+    and 0 if none runs. `caller` is the service of
     this host and `name` the caller's own name for the request, both empty if the deployment has
     none. `api_key` is the digest of the API key, empty if there is none. `withheld` are the headers
     that identify the customer.
