--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -66,8 +66,6 @@
         self.in_transit: dict[str, int] = {}
         self.prepare()
 
-    # Setup
-
     def make_owner(self, name: str) -> Owner:
         """Return the owner of a target."""
         service = self.fleet["services"]["s"]
@@ -139,8 +137,6 @@
             for target in self.down:
                 self.apply_ingress_actions(name, ingress.link_lost(self.env.now, target))
 
-    # Scheduling
-
     def schedule(self, delay: float, run: Callable[[], Any]) -> None:
         """Call a function after a delay."""
         self.env.timeout(delay).callbacks.append(lambda event: run())
@@ -160,8 +156,6 @@
         self.env.run(until=self.case.length_s + 0.6)
         return self.outcomes
 
-    # Callers
-
     def interarrival_s(self) -> float:
         """Return the time until the next call, seconds."""
         deployment = self.deployment
@@ -201,8 +195,6 @@
             CallOutcome(began, self.env.now - began, urgent, result, failed, targets)
         )
 
-    # Actions of ingresses and owners
-
     def apply_ingress_actions(self, name: str, actions: list[Any]) -> None:
         """Execute the actions of an ingress."""
         for action in actions:
--- a/foldhoist/customers/credit.py
+++ b/foldhoist/customers/credit.py
@@ -276,8 +276,6 @@
         account.waiting.remove(call_id)
         return True
 
-    # Steps
-
     def _ask(self, now: float, account: _Account) -> list[Step]:
         """Request credit for the waiting calls, or use the own share if no server is left."""
         if not account.waiting:
--- a/foldhoist/customers/quota_server.py
+++ b/foldhoist/customers/quota_server.py
@@ -177,8 +177,6 @@
         """Return the remaining credit of each customer with a bucket here, in calls."""
         return {name: bucket.level for name, bucket in self._buckets.items()}
 
-    # Steps
-
     def _grant(self, at: float, customer: Customer, bucket: _Bucket, ask: CreditAsk) -> Credit:
         granted = min(ask["want"], int(bucket.level))
         bucket.level -= granted
--- a/foldhoist/daemon/callers.py
+++ b/foldhoist/daemon/callers.py
@@ -119,8 +119,6 @@
         self._body_bytes = 0
         self._reset()
 
-    # asyncio
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Accept the connection, or refuse it if there are too many."""
         assert isinstance(transport, asyncio.Transport)
@@ -179,8 +177,6 @@
         """Close the connection when the caller has closed its side."""
         return False
 
-    # httptools
-
     def on_message_begin(self) -> None:
         """Reset the state for a new request."""
         self._reset()
@@ -237,8 +233,6 @@
             self._transport.pause_reading()
         self._start_next()
 
-    # Answers
-
     def set_call_id(self, call_id: int) -> None:
         """Set the id of the call that serves the current request."""
         self._call_id = call_id
@@ -278,8 +272,6 @@
         if self._transport is not None:
             self._transport.abort()
 
-    # Steps
-
     def _start_next(self) -> None:
         if self._busy or not self._waiting or self._ended:
             return
--- a/foldhoist/daemon/configuration.py
+++ b/foldhoist/daemon/configuration.py
@@ -117,8 +117,6 @@
             if target is not None:
                 self._ask(target["control"])
 
-    # The log
-
     async def _read_loop(self) -> None:
         poll_s = self._cfg["platform"]["poll_ms"] / 1000
         while True:
@@ -204,8 +202,6 @@
         await self._client.append(pack_snapshot(to_snapshot(state)))
         self.count.kept += 1
 
-    # Peers
-
     async def _ask_loop(self) -> None:
         mean_s = self._cfg["peers"]["ask_ms"] / 1000
         seeds = [seed.strip() for seed in self._cfg["peers"]["seeds"].split(",") if seed.strip()]
@@ -251,8 +247,6 @@
             if target is not None:
                 self._control.send(target["control"], "Held", self._held_message())
 
-    # Adoption
-
     def _merge_state(self, state: State) -> None:
         merged = merge(self.state, state)
         newer = merged.generation > self.state.generation
--- a/foldhoist/daemon/daemon.py
+++ b/foldhoist/daemon/daemon.py
@@ -195,8 +195,6 @@
         logger.info("daemon {} stopped", self.name)
         self.stopped.set()
 
-    # Metrics
-
     def counters(self) -> dict[str, dict[str, int]]:
         """Return all counters, by part."""
         return {
@@ -214,8 +212,6 @@
             "generation": self.configuration.state.generation,
         }
 
-    # Steps
-
     async def _listen(self) -> None:
         cfg = self.cfg
         loop = asyncio.get_running_loop()
--- a/foldhoist/daemon/mesh.py
+++ b/foldhoist/daemon/mesh.py
@@ -171,8 +171,6 @@
         logger.info("daemon {} stopped", self.name)
         self.stopped.set()
 
-    # Metrics
-
     def metrics(self) -> bytes:
         """Return all metrics as text; the library is imported on first use."""
         from foldhoist.observe.metrics import Metrics
@@ -198,8 +196,6 @@
             "peers": len(self.registry.peers),
         }
 
-    # Steps
-
     def _make_roles(self) -> None:
         cfg = self.cfg
         self.messages = PeerMessages(self)
--- a/foldhoist/daemon/peer_messages.py
+++ b/foldhoist/daemon/peer_messages.py
@@ -79,8 +79,6 @@
         self._daemon.owner_task.reply(link, "Member", self._daemon.describe())
         self._daemon.peers.record_reported(name)
 
-    # Steps
-
     def _on_crashes(self, message: Crashes) -> None:
         """Merge a daemon's suspected calls; relays them in this data centre if `spread` is set."""
         daemon = self._daemon
--- a/foldhoist/daemon/peers_task.py
+++ b/foldhoist/daemon/peers_task.py
@@ -234,8 +234,6 @@
             answer = await self._store.register(self._registration())
         return bool(answer.is_ok())
 
-    # Steps
-
     def _send_member(self, name: str) -> None:
         if self._links.send(name, "Member", self._describe()):
             self.record_reported(name)
--- a/foldhoist/daemon/quota_task.py
+++ b/foldhoist/daemon/quota_task.py
@@ -100,8 +100,6 @@
             "unanswered": client.unanswered,
         }
 
-    # Steps
-
     async def _update_loop(self) -> None:
         while True:
             self._update_hosts()
--- a/foldhoist/daemon/sampler.py
+++ b/foldhoist/daemon/sampler.py
@@ -86,8 +86,6 @@
             self._fail("malformed health answer")
             self.close()
 
-    # httptools
-
     def on_header(self, name: bytes, value: bytes) -> None:
         """Record a header."""
         self._head.add(name, value)
--- a/foldhoist/daemon/upstream.py
+++ b/foldhoist/daemon/upstream.py
@@ -116,8 +116,6 @@
         if self._result is not None:
             self._finish(self._result)
 
-    # httptools
-
     def on_message_begin(self) -> None:
         """Rule out reuse of the connection if a second answer to one request begins."""
         if self._complete:
@@ -174,8 +172,6 @@
         self._complete = True
         self._result = result
 
-    # Steps
-
     def _reset(self, is_head: bool) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._is_head = is_head
--- a/foldhoist/daemon/upstream_task.py
+++ b/foldhoist/daemon/upstream_task.py
@@ -193,8 +193,6 @@
         self._barrier.peer_remembered()
         self._apply_ended(ended)
 
-    # Steps
-
     def _apply_ended(self, ended: Iterable[UpstreamIncarnation]) -> None:
         before = self.known.current
         if self.known.add_ended(ended):
--- a/foldhoist/daemon/versions_task.py
+++ b/foldhoist/daemon/versions_task.py
@@ -188,8 +188,6 @@
             "evacuated": self.evacuations.as_message(),
         }
 
-    # Steps
-
     def _request(self, name: str) -> None:
         """Request a peer's version, unless a peer was asked within `REQUEST_INTERVAL_S`."""
         now = self._loop.time()
--- a/foldhoist/membership/registry.py
+++ b/foldhoist/membership/registry.py
@@ -325,8 +325,6 @@
                 found.setdefault(service, []).append(tracked)
         return found
 
-    # Steps
-
     def _is_usable(self, now: float, name: str) -> bool:
         """Return whether a peer can take calls now or soon; one without a known upstream counts."""
         peer = self.peers[name]
--- a/soak/run.py
+++ b/soak/run.py
@@ -84,8 +84,6 @@
                 task.cancel()
             await self._terminate()
 
-    # Steps
-
     async def _start(self) -> None:
         for number, (name, target) in enumerate(self._targets.items()):
             target.work_s = SERVICE_S
--- a/tests/unit/customers/simulation.py
+++ b/tests/unit/customers/simulation.py
@@ -77,8 +77,6 @@
         for host in self.hosts.values():
             self.start(host)
 
-    # Failures
-
     def start(self, host: Host) -> None:
         host.client.set_hosts(self.names)
         host.server.adopt(self.now, self.directory)
@@ -111,8 +109,6 @@
             host.server.adopt(self.now, self.directory)
             self.apply_steps(host, host.client.adopt(self.now, self.directory))
 
-    # Time
-
     def run_until(self, until: float, calls_per_s: float) -> None:
         """Advance the time, with calls at random hosts."""
         while self.now < until:
