--- a/foldhoist/commands/check.py
+++ b/foldhoist/commands/check.py
@@ -15,9 +15,10 @@
 
 
 def check(file: str, *, json: bool = False) -> int:
-    """Check a fleet configuration, or a daemon's settings, and list every fault.
+    """Check a fleet configuration, or a daemon's settings, and list its faults.
 
-    A file with a [daemon] section is checked as settings. Exits with 1 if there are errors.
+    A file with a [daemon] section is checked as settings. References between sections are checked
+    once no section has a fault of its own. Exits with 1 if there are errors.
 
     :param file: Path of the file.
     :param json: Print JSON.
--- a/foldhoist/commands/explain.py
+++ b/foldhoist/commands/explain.py
@@ -69,7 +69,7 @@
 
 
 async def collect_records(trace: str, daemon: str) -> dict[str, Any]:
-    """Return the records of a call from all daemons in the configuration of one of them."""
+    """Return a call's records from a daemon and those of all targets not retired that it knows."""
     snapshot = await fetch_json(daemon, "/configuration")
     fleet, _ = parse_fleet(snapshot["content"], "configuration in force")
     addresses = [daemon]
--- a/foldhoist/commands/output.py
+++ b/foldhoist/commands/output.py
@@ -17,7 +17,7 @@
 EXIT_FAULTS = 1
 """A file or the command line must be changed; nothing was done."""
 EXIT_REJECTED = 2
-"""The configuration was rejected; nothing was done."""
+"""The configuration was rejected and did not come into force."""
 EXIT_UNKNOWN = 3
 """It is unknown whether the configuration was accepted: apply it again with the same id."""
 EXIT_UNREACHABLE = 4
--- a/foldhoist/commands/status.py
+++ b/foldhoist/commands/status.py
@@ -10,7 +10,7 @@
 
 
 def status(daemon: str, *, json: bool = False) -> int:
-    """Show a daemon's state and what it knows of each upstream, with the age of that.
+    """Show a daemon's state, and what it knows of each upstream with the age of its load report.
 
     :param daemon: Operators address of the daemon, as IP:port.
     :param json: Print JSON.
--- a/foldhoist/config/faults.py
+++ b/foldhoist/config/faults.py
@@ -55,5 +55,5 @@
 
 
 def errors(faults: list[Fault]) -> list[Fault]:
-    """Return the faults that make a file unusable, that is without the warnings."""
+    """Return the faults that are errors and make a file unusable, without the warnings."""
     return [fault for fault in faults if fault.level == "error"]
--- a/foldhoist/config/fleet.py
+++ b/foldhoist/config/fleet.py
@@ -53,7 +53,10 @@
 def parse_fleet(
     text: str, file: str, cache: SectionCache | None = None
 ) -> tuple[Fleet, list[Fault]]:
-    """Return the configuration in a text and its faults; with errors it must not be used."""
+    """Return the configuration in a text and its faults; with errors it must not be used.
+
+    Consistency between sections is checked only if no section has a fault of its own.
+    """
     texts, faults = split_sections(text, file)
     sections = (cache or SectionCache()).read(texts, file)
     fleet: dict[str, Any] = {"fleet": {}, **{f"{kind}s": {} for kind in SECTION_ENTRIES}}
--- a/foldhoist/config/ini.py
+++ b/foldhoist/config/ini.py
@@ -1,4 +1,4 @@
-"""Parses INI text against a schema and reports all its faults at once."""
+"""Parses INI text against a schema and collects its faults."""
 
 from __future__ import annotations
 
--- a/foldhoist/observe/events.py
+++ b/foldhoist/observe/events.py
@@ -29,7 +29,7 @@
 
 
 class EventLog:
-    """Logs records through `write(event, fields)`; `share` is the part of ordinary calls logged."""
+    """Logs records through `write(event, fields)`; logs a `share`, 0 to 1, of ordinary ones."""
 
     def __init__(
         self, write: Callable[[str, dict[str, Any]], None], share: float, rng: Random
